--- a/src/state/configuration.ts
+++ b/src/state/configuration.ts
@@ -1,10 +1,10 @@
 /**
- * Configuration, folded from the log: plans, their confirmations, and what is
- * in force.
+ * Configuration, folded from the log: plans, their confirmations, and the
+ * values in force.
  *
- * The version in force is the offset of the confirmation that made it, so it
- * only rises along the log. Of two confirmed plans with one basis the first
- * on the log wins and the other becomes stale.
+ * The version in force is the offset of the confirmation that created it, so
+ * versions increase along the log. If two plans with the same basis are
+ * confirmed, the first one in the log is accepted and the other becomes stale.
  *
  * @module
  */
@@ -12,24 +12,24 @@
 	BudgetRule, CallerKey, Change, Customer, EngineOrder, Model, RecordOf, RequestClass, Service,
 } from '../protocol/mod.js';
 
-/** What became of a plan. */
+/** State of a plan. */
 export type PlanState = 'open' | 'accepted' | 'stale' | 'refused';
 
-/** A plan as the log knows it. */
+/** A plan and its state. */
 export type Plan = {
 	id: string;
-	/** The version it rests on. */
+	/** The configuration version that the plan is based on. */
 	basis: number;
 	by: string;
 	changes: Change[];
 	state: PlanState;
-	/** The version it made, once accepted. */
+	/** The version that the plan created; set when it is accepted. */
 	version?: number;
-	/** Why it was refused. */
+	/** Why the plan was refused or became stale. */
 	reason?: string;
 };
 
-/** An engine order with its fencing number. */
+/** An engine order with its fencing token. */
 export type FencedOrder = EngineOrder & {fence: number};
 
 /** Serialisable form of the configuration. */
@@ -45,14 +45,14 @@
 	plans: Plan[];
 };
 
-const plansKept = 256;
+const maxPlans = 256;
 
 /** @internal */
-function indexBy<Item>(items: readonly Item[] | undefined, pick: (item: Item) => string): Map<string, Item> {
-	return new Map(items?.map(item => [pick(item), item]));
+function indexBy<Item>(items: readonly Item[] | undefined, getKey: (item: Item) => string): Map<string, Item> {
+	return new Map(items?.map(item => [getKey(item), item]));
 }
 
-/** The configuration; each `fold…` takes one record at its offset. */
+/** Configuration in force; each `fold…` method applies one log record. */
 export type Configuration = ReturnType<typeof createConfiguration>;
 
 /**
@@ -123,14 +123,14 @@
 			}
 
 			case 'top-up': {
-				// The ledger folds it.
+				// Applied by the ledger.
 				break;
 			}
 		}
 	}
 
-	// Tells why a change cannot be applied, or undefined when it can.
-	function explainChange(change: Change, added: Added): string | undefined {
+	// Returns why a change cannot be applied, or undefined if it can.
+	function describeViolation(change: Change, added: AddedObjects): string | undefined {
 		switch (change.change) {
 			case 'put-key': {
 				const {customer, budget} = change.key;
@@ -165,9 +165,9 @@
 		}
 	}
 
-	function listRefusals(changes: readonly Change[]): string[] {
-		const added: Added = {customers: new Set(), budgets: new Map()};
-		const refusals: string[] = [];
+	function listViolations(changes: readonly Change[]): string[] {
+		const added: AddedObjects = {customers: new Set(), budgets: new Map()};
+		const violations: string[] = [];
 		for (const change of changes) {
 			if (change.change === 'put-customer') {
 				added.customers.add(change.customer.id);
@@ -177,18 +177,18 @@
 				added.budgets.set(change.budget.id, change.budget);
 			}
 
-			const refusal = explainChange(change, added);
-			if (refusal) {
-				refusals.push(refusal);
+			const violation = describeViolation(change, added);
+			if (violation) {
+				violations.push(violation);
 			}
 		}
 
-		return refusals;
+		return violations;
 	}
 
-	function dropOldPlans(): void {
+	function evictOldPlans(): void {
 		for (const id of plans.keys()) {
-			if (plans.size <= plansKept) {
+			if (plans.size <= maxPlans) {
 				return;
 			}
 
@@ -197,7 +197,7 @@
 	}
 
 	return {
-		/** The version in force: the offset of the confirmation that made it, 0 for none. */
+		/** Returns the version in force: the offset of the confirmation that created it, or 0 before the first one. */
 		version: () => version,
 		foldPlan(record: RecordOf<'plan'>): void {
 			if (plans.has(record.plan)) {
@@ -207,13 +207,13 @@
 			plans.set(record.plan, {
 				id: record.plan, basis: record.basis, by: record.by, changes: record.changes, state: 'open',
 			});
-			dropOldPlans();
+			evictOldPlans();
 		},
 
-		/** Folds a confirmation and returns the changes that it put in force. */
+		/** Folds a confirmation and returns the changes that it brought into force. */
 		foldConfirm(record: RecordOf<'confirm'>, offset: number): readonly Change[] {
 			const plan = plans.get(record.plan);
-			// A confirmation whose answer was lost may stand twice; only an open plan can be accepted.
+			// A confirmation is appended again if the answer to its append is lost; only an open plan can be accepted.
 			if (plan?.state !== 'open') {
 				return [];
 			}
@@ -224,10 +224,10 @@
 				return [];
 			}
 
-			const [refusal] = listRefusals(plan.changes);
-			if (refusal) {
+			const [violation] = listViolations(plan.changes);
+			if (violation) {
 				plan.state = 'refused';
-				plan.reason = refusal;
+				plan.reason = violation;
 				return [];
 			}
 
@@ -241,8 +241,8 @@
 			return plan.changes;
 		},
 
-		/** What the changes break, as sentences; empty when nothing. */
-		listRefusals,
+		/** Returns a sentence for each change that cannot be applied; empty if all can. */
+		listRefusals: listViolations,
 		findPlan: (id: string): Readonly<Plan> | undefined => plans.get(id),
 		listPlans: (): Iterable<Readonly<Plan>> => plans.values(),
 		findKey: (digest: string): CallerKey | undefined => keys.get(digest),
@@ -272,7 +272,7 @@
 	};
 }
 
-type Added = {
+type AddedObjects = {
 	readonly customers: Set<string>;
 	readonly budgets: Map<string, BudgetRule>;
 };
--- a/src/state/fleet-state.ts
+++ b/src/state/fleet-state.ts
@@ -1,5 +1,5 @@
 /**
- * Everything that is folded from the log, in one place and one order.
+ * State of the fleet, folded from the log in log order.
  *
  * @module
  */
@@ -7,33 +7,33 @@
 import {createConfiguration, type ConfigurationSnapshot} from './configuration.js';
 import {createLedger, formatIncarnation, type LedgerSnapshot} from './ledger.js';
 import {createPlacement, type EndedIncarnation, type PlacementSnapshot} from './placement.js';
-import {createRunRegister, type RunRegisterSnapshot} from './run-register.js';
+import {createRunRegistry, type RunRegistrySnapshot} from './run-registry.js';
 
-/** Serialisable form of the fleet's state; as of the record before `next`. */
+/** Serialisable form of the fleet's state; covers all records before offset `next`. */
 export type FleetSnapshot = {
 	next: number;
 	ledger: LedgerSnapshot;
 	configuration: ConfigurationSnapshot;
 	placement: PlacementSnapshot;
-	runs: RunRegisterSnapshot;
+	runs: RunRegistrySnapshot;
 };
 
 /** Options of {@linkcode createFleetState}. */
 export type CreateFleetStateOptions = {
-	/** How long receipts and runs stay known, in milliseconds of the log's clock. */
+	/** How long receipts and runs are kept, in milliseconds by the log's clock. */
 	readonly window: number;
 	/** Snapshot to start from; default empty. */
 	readonly snapshot?: FleetSnapshot;
 };
 
-/** What folding one entry came to. */
+/** Result of folding one log entry. */
 export type FoldOutcome = 'folded' | 'repeated' | 'unreadable';
 
-/** The fleet's state. */
+/** State of the fleet: ledger, configuration, placement and runs. */
 export type FleetState = ReturnType<typeof createFleetState>;
 
 /**
- * Creates the fleet's state.
+ * Creates the state of the fleet.
  *
  * @example
  * ```ts
@@ -42,33 +42,33 @@
  * fleet.next(); // 1
  * ```
  *
- * @param options The window and a snapshot to start from
+ * @param options The retention period and a snapshot to start from
  * @returns The state
  */
 export function createFleetState(options: CreateFleetStateOptions) {
-	const {window, snapshot} = options;
-	let next = snapshot?.next ?? 0;
-	const ledger = createLedger({window, snapshot: snapshot?.ledger});
+	const {window: retentionMs, snapshot} = options;
+	let nextOffset = snapshot?.next ?? 0;
+	const ledger = createLedger({retentionMs, snapshot: snapshot?.ledger});
 	const configuration = createConfiguration(snapshot?.configuration);
 	const placement = createPlacement(snapshot?.placement);
-	const runs = createRunRegister({window, snapshot: snapshot?.runs});
+	const runs = createRunRegistry({retentionMs, snapshot: snapshot?.runs});
 
-	function foldEnd(ended: EndedIncarnation | undefined): void {
-		if (!ended) {
+	function foldEnd(endedIncarnation: EndedIncarnation | undefined): void {
+		if (!endedIncarnation) {
 			return;
 		}
 
-		const {daemon, incarnation, role} = ended.member;
+		const {daemon, incarnation, role} = endedIncarnation.member;
 		if (role === 'upstream') {
-			ledger.foldEnd(formatIncarnation(daemon, incarnation), ended.graceful);
+			ledger.foldEnd(formatIncarnation(daemon, incarnation), endedIncarnation.graceful);
 			return;
 		}
 
-		closeGrantsOf(daemon, incarnation);
+		closeGrantsHeldBy(daemon, incarnation);
 	}
 
-	// An entry's ended incarnation can neither use nor return its grants.
-	function closeGrantsOf(daemon: string, incarnation: string): void {
+	// An ended incarnation of an entry daemon can neither use nor release its grants.
+	function closeGrantsHeldBy(daemon: string, incarnation: string): void {
 		const upstreams = placement.listUpstreamIncarnations();
 		for (const grant of ledger.listGrants()) {
 			if (grant.daemon === daemon && grant.incarnation === incarnation) {
@@ -78,7 +78,7 @@
 	}
 
 	function foldClaim(record: Extract<LogRecord, {kind: 'claim'}>, offset: number): void {
-		// A claim delayed past its claimant's end would hold tokens that nobody can use.
+		// A claim recorded after the end of its incarnation would lock tokens that no daemon can use.
 		if (placement.isCurrent(record.daemon, record.incarnation)) {
 			ledger.foldClaim(record, offset);
 		}
@@ -147,7 +147,7 @@
 			}
 
 			case 'snapshot': {
-				// Only a reader that starts from it needs it.
+				// Only readers that start from a snapshot use it.
 				break;
 			}
 		}
@@ -158,15 +158,15 @@
 		configuration,
 		placement,
 		runs,
-		/** The offset of the next record to fold. */
-		next: () => next,
+		/** Returns the offset of the next record to fold. */
+		next: () => nextOffset,
 		fold(entry: LogEntry): FoldOutcome {
-			// Records come from the log and from peers, and some come twice.
-			if (entry.offset < next) {
+			// Records arrive both from the log and from peers, so some arrive twice.
+			if (entry.offset < nextOffset) {
 				return 'repeated';
 			}
 
-			next = entry.offset + 1;
+			nextOffset = entry.offset + 1;
 			const parsed = recordSchema.safeParse(entry.data);
 			if (!parsed.success) {
 				return 'unreadable';
@@ -177,7 +177,7 @@
 		},
 
 		buildSnapshot: (): FleetSnapshot => ({
-			next,
+			next: nextOffset,
 			ledger: ledger.buildSnapshot(),
 			configuration: configuration.buildSnapshot(),
 			placement: placement.buildSnapshot(),
--- a/src/state/grant-holder.ts
+++ b/src/state/grant-holder.ts
@@ -1,36 +1,36 @@
 /**
- * The grants that one entry daemon holds, and what is reserved from them.
+ * The grants that one entry daemon holds, and the reservations made from them.
  *
- * The worst case of a request is reserved before anything is sent and settled
- * to the measured cost at its end, so a whole answer can never run out of
- * tokens half-way.
+ * The worst-case cost of a request is reserved before the request is sent, and
+ * settled to the actual cost when it ends. An answer therefore cannot run out
+ * of tokens part-way.
  *
  * @module
  */
 import Emittery from 'emittery';
 import type {GrantShare} from '../protocol/mod.js';
 
-/** Tokens that this daemon may spend: a grant of its own, or a loan from a peer's grant. */
+/** Tokens that this daemon may spend: its own grant, or a loan from a peer's grant. */
 export type Source = {
 	readonly grant: string;
 	readonly budget: string;
-	/** Tokens neither reserved nor spent nor lent. */
+	/** Tokens that are not reserved, spent or lent. */
 	free: number;
 	/** Tokens reserved by running requests. */
 	reserved: number;
-	/** Tokens lent to peers and not repaid. */
+	/** Tokens lent to peers and not yet repaid. */
 	lent: number;
-	/** The peer that lent it; undefined for a grant of its own. */
+	/** The peer that lent the tokens; undefined for the daemon's own grant. */
 	readonly lender?: string;
 	readonly loan?: string;
 };
 
-/** Tokens put aside for one request. */
+/** Tokens reserved for one request. */
 export type Reservation = {
 	readonly budget: string;
 	readonly amount: number;
 	readonly shares: readonly GrantShare[];
-	/** True once it was given back; a second settlement does nothing. */
+	/** True after the first settlement; further settlements have no effect. */
 	settled: boolean;
 };
 
@@ -38,39 +38,39 @@
 export type AddSourceOptions = {
 	readonly budget: string;
 	readonly amount: number;
-	/** The lender; default none, a grant of the daemon's own. */
+	/** The peer that lends the tokens; default none, for the daemon's own grant. */
 	readonly lender?: string;
-	/** The loan's number; default none. */
+	/** The loan's identifier; default none. */
 	readonly loan?: string;
 };
 
 type HolderEvents = {
-	/** Tokens of the budget became free. */
+	/** Emitted with the budget's identifier when tokens of the budget become free. */
 	freed: string;
 };
 
-/** The grants that one entry daemon holds. */
+/** Grants and loans of one entry daemon, and their reservations. */
 export type GrantHolder = ReturnType<typeof createGrantHolder>;
 
 /** @internal */
-function takeFrom(sources: Iterable<Source>, amount: number, onTaken?: (source: Source, taken: number) => void): GrantShare[] {
-	const byGrant = new Map<string, number>();
-	let missing = amount;
+function takeFreeTokens(sources: Iterable<Source>, amount: number, onTake?: (source: Source, taken: number) => void): GrantShare[] {
+	const amountByGrant = new Map<string, number>();
+	let remaining = amount;
 	for (const source of sources) {
-		const taken = Math.min(source.free, missing);
+		const taken = Math.min(source.free, remaining);
 		if (taken > 0) {
 			source.free -= taken;
-			missing -= taken;
-			byGrant.set(source.grant, (byGrant.get(source.grant) ?? 0) + taken);
-			onTaken?.(source, taken);
+			remaining -= taken;
+			amountByGrant.set(source.grant, (amountByGrant.get(source.grant) ?? 0) + taken);
+			onTake?.(source, taken);
 		}
 	}
 
-	return [...byGrant].map(([grant, taken]) => ({grant, amount: taken}));
+	return [...amountByGrant].map(([grant, taken]) => ({grant, amount: taken}));
 }
 
 /**
- * Creates an empty holder.
+ * Creates a holder without grants.
  *
  * @example
  * ```ts
@@ -85,42 +85,42 @@
  */
 export function createGrantHolder() {
 	const events = new Emittery<HolderEvents>();
-	const sources = new Map<string, Map<string, Source>>();
-	const byGrant = new Map<string, Source[]>();
+	const sourcesByBudget = new Map<string, Map<string, Source>>();
+	const sourcesByGrant = new Map<string, Source[]>();
 
-	function nameSource(grant: string, loan: string | undefined): string {
+	function formatSourceKey(grant: string, loan: string | undefined): string {
 		return loan ? `${grant}#${loan}` : grant;
 	}
 
 	function listSources(budget: string): Source[] {
-		return [...sources.get(budget)?.values() ?? []];
+		return [...sourcesByBudget.get(budget)?.values() ?? []];
 	}
 
-	function sum(budget: string, pick: (source: Source) => number): number {
+	function sumSources(budget: string, getAmount: (source: Source) => number): number {
 		let total = 0;
-		for (const source of sources.get(budget)?.values() ?? []) {
-			total += pick(source);
+		for (const source of sourcesByBudget.get(budget)?.values() ?? []) {
+			total += getAmount(source);
 		}
 
 		return total;
 	}
 
-	function announceFree(budget: string): void {
+	function emitFreed(budget: string): void {
 		void events.emit('freed', budget);
 	}
 
-	// A grant may back several sources (a loan taken twice); each share is returned to whichever has it reserved.
-	function returnShare(share: GrantShare, unspent: number): string | undefined {
-		let reserved = share.amount;
-		let rest = unspent;
+	// A grant may back several sources, for example two loans from it. Each token is released in the source that reserved it.
+	function releaseShare(share: GrantShare, unspentAmount: number): string | undefined {
+		let remainingReserved = share.amount;
+		let remainingUnspent = unspentAmount;
 		let budget: string | undefined;
-		for (const source of byGrant.get(share.grant) ?? []) {
-			const part = Math.min(source.reserved, reserved);
-			source.reserved -= part;
-			reserved -= part;
-			const freed = Math.min(rest, part);
+		for (const source of sourcesByGrant.get(share.grant) ?? []) {
+			const released = Math.min(source.reserved, remainingReserved);
+			source.reserved -= released;
+			remainingReserved -= released;
+			const freed = Math.min(remainingUnspent, released);
 			source.free += freed;
-			rest -= freed;
+			remainingUnspent -= freed;
 			budget = source.budget;
 		}
 
@@ -131,46 +131,46 @@
 		events,
 		add(grant: string, options: AddSourceOptions): void {
 			const {budget, amount, lender, loan} = options;
-			const name = nameSource(grant, loan);
-			const known = sources.get(budget) ?? new Map<string, Source>();
-			sources.set(budget, known);
-			// A loan's answer may come twice; its number makes the second one worth nothing.
-			if (known.has(name)) {
+			const sourceKey = formatSourceKey(grant, loan);
+			const budgetSources = sourcesByBudget.get(budget) ?? new Map<string, Source>();
+			sourcesByBudget.set(budget, budgetSources);
+			// The reply to a loan request may arrive twice; its identifier prevents the loan from being added twice.
+			if (budgetSources.has(sourceKey)) {
 				return;
 			}
 
 			const source: Source = {
 				grant, budget, free: amount, reserved: 0, lent: 0, lender, loan,
 			};
-			known.set(name, source);
-			byGrant.set(grant, [...byGrant.get(grant) ?? [], source]);
-			announceFree(budget);
+			budgetSources.set(sourceKey, source);
+			sourcesByGrant.set(grant, [...sourcesByGrant.get(grant) ?? [], source]);
+			emitFreed(budget);
 		},
 
-		/** Forgets a grant that was closed or used up, with its loans. */
+		/** Removes a grant that was closed or used up, and all loans from it. */
 		drop(grant: string): void {
-			for (const source of byGrant.get(grant) ?? []) {
-				sources.get(source.budget)?.delete(nameSource(grant, source.loan));
-				announceFree(source.budget);
+			for (const source of sourcesByGrant.get(grant) ?? []) {
+				sourcesByBudget.get(source.budget)?.delete(formatSourceKey(grant, source.loan));
+				emitFreed(source.budget);
 			}
 
-			byGrant.delete(grant);
+			sourcesByGrant.delete(grant);
 		},
 
-		/** Forgets one loan. */
+		/** Removes one loan. */
 		dropLoan(source: Source): void {
-			sources.get(source.budget)?.delete(nameSource(source.grant, source.loan));
-			byGrant.set(source.grant, (byGrant.get(source.grant) ?? []).filter(other => other !== source));
+			sourcesByBudget.get(source.budget)?.delete(formatSourceKey(source.grant, source.loan));
+			sourcesByGrant.set(source.grant, (sourcesByGrant.get(source.grant) ?? []).filter(other => other !== source));
 		},
 
-		/** Puts tokens aside, or returns undefined when too few are free. */
+		/** Reserves tokens, or returns undefined if too few are free. */
 		reserve(budget: string, amount: number): Reservation | undefined {
-			const known = listSources(budget);
-			if (sum(budget, source => source.free) < amount) {
+			const budgetSources = listSources(budget);
+			if (sumSources(budget, source => source.free) < amount) {
 				return undefined;
 			}
 
-			const shares = takeFrom(known, amount, (source, taken) => {
+			const shares = takeFreeTokens(budgetSources, amount, (source, taken) => {
 				source.reserved += taken;
 			});
 			return {
@@ -178,7 +178,7 @@
 			};
 		},
 
-		/** Ends a reservation; whatever was not billed becomes free again. */
+		/** Ends a reservation; tokens that were not billed become free again. */
 		settle(reservation: Reservation, billed: readonly GrantShare[]): void {
 			if (reservation.settled) {
 				return;
@@ -187,43 +187,43 @@
 			reservation.settled = true;
 			for (const share of reservation.shares) {
 				const spent = billed.filter(item => item.grant === share.grant).reduce((total, item) => total + item.amount, 0);
-				returnShare(share, Math.max(0, share.amount - spent));
+				releaseShare(share, Math.max(0, share.amount - spent));
 			}
 
-			announceFree(reservation.budget);
+			emitFreed(reservation.budget);
 		},
 
-		/** Takes tokens out of the free ones, to release or to lend them; only from own grants. */
+		/** Withdraws free tokens of the daemon's own grants, to release or lend them. Returns at most `amount` tokens. */
 		withdraw(budget: string, amount: number): GrantShare[] {
-			return takeFrom(listSources(budget).filter(source => !source.lender), amount);
+			return takeFreeTokens(listSources(budget).filter(source => !source.lender), amount);
 		},
 
-		/** Marks withdrawn tokens as lent. */
+		/** Records withdrawn tokens as lent. */
 		markLent(shares: readonly GrantShare[]): void {
 			for (const share of shares) {
-				const source = byGrant.get(share.grant)?.find(candidate => !candidate.lender);
+				const source = sourcesByGrant.get(share.grant)?.find(candidate => !candidate.lender);
 				if (source) {
 					source.lent += share.amount;
 				}
 			}
 		},
 
-		/** Ends a loan to a peer; what it did not spend becomes free again. */
+		/** Ends a loan to a peer; tokens that the peer did not spend become free again. */
 		settleLoan(lent: readonly GrantShare[], unspent: readonly GrantShare[]): void {
 			for (const share of lent) {
-				const source = byGrant.get(share.grant)?.find(candidate => !candidate.lender);
+				const source = sourcesByGrant.get(share.grant)?.find(candidate => !candidate.lender);
 				if (source) {
 					source.lent -= share.amount;
 					source.free += Math.min(share.amount, unspent.find(item => item.grant === share.grant)?.amount ?? 0);
-					announceFree(source.budget);
+					emitFreed(source.budget);
 				}
 			}
 		},
 
-		has: (grant: string): boolean => byGrant.has(grant),
+		has: (grant: string): boolean => sourcesByGrant.has(grant),
 		listSources,
-		listBudgets: (): string[] => [...sources.keys()],
-		countFree: (budget: string): number => sum(budget, source => source.free),
-		countReserved: (budget: string): number => sum(budget, source => source.reserved),
+		listBudgets: (): string[] => [...sourcesByBudget.keys()],
+		countFree: (budget: string): number => sumSources(budget, source => source.free),
+		countReserved: (budget: string): number => sumSources(budget, source => source.reserved),
 	};
 }
--- /dev/null
+++ b/src/state/grant-registry.test.ts
@@ -0,0 +1,42 @@
+import fc from 'fast-check';
+import {expect, test} from 'vitest';
+import {createGrantBook, type HolderRecord} from './mod.js';
+
+const customers = ['c1', 'c2'];
+
+function buildRecord(daemon: string, granted: Record<string, number>, options: {readonly version?: number; readonly hasEnded?: boolean} = {}): HolderRecord {
+	const {version = 1, hasEnded = false} = options;
+	return {
+		role: 'gateway', daemon, incarnation: 'i', address: 'a', failureDomain: 'd', version, sequence: 1, granted, hasEnded,
+	};
+}
+
+// If the sum deviated from the records, a budget would be overspent, or would look spent while tokens remain.
+test('sums and versions match the newest records', () => {
+	const change = fc.record({
+		daemon: fc.constantFrom('e1', 'e2', 'e3'), c1: fc.nat(1000), c2: fc.option(fc.nat(1000)), version: fc.nat(9),
+	});
+	fc.assert(fc.property(fc.array(change), changes => {
+		const registry = createGrantBook();
+		for (const {daemon, c1, c2, version} of changes) {
+			registry.put(daemon, buildRecord(daemon, c2 === null ? {c1} : {c1, c2}, {version}));
+		}
+
+		for (const customer of customers) {
+			for (const except of [undefined, 'e1']) {
+				const counted = registry.list().filter(({daemon}) => daemon !== except).map(({granted}) => granted[customer] ?? 0);
+				expect(registry.sumGranted(customer, except)).toBe(counted.reduce((sum, tokens) => sum + tokens, 0));
+			}
+		}
+
+		expect(registry.findNewestVersion()).toBe(Math.max(...changes.map(({version}) => version)));
+	}));
+});
+
+test('listRunning() omits a holder that has stopped', () => {
+	const registry = createGrantBook();
+	registry.put('e1', buildRecord('e1', {}));
+	expect(registry.listRunning().map(({daemon}) => daemon)).toEqual(['e1']);
+	registry.put('e1', buildRecord('e1', {}, {hasEnded: true}));
+	expect(registry.listRunning()).toEqual([]);
+});
--- /dev/null
+++ b/src/state/grant-registry.ts
@@ -0,0 +1,119 @@
+/**
+ * Tokens of each customer's budget that every gateway has been granted.
+ *
+ * Each incarnation of a gateway owns one record in a keyed log. It holds the
+ * cumulative total granted to that incarnation from each budget. A record is
+ * appended only if its writer has read the log to the end, so the writer knows
+ * all other totals and their sum never exceeds the tokens bought. A grant is
+ * used up and never expires, because a paused holder cannot know how much time
+ * has passed. The totals of ended incarnations remain counted.
+ *
+ * @module
+ */
+import * as z from 'zod';
+
+/** Schema of a holder's record. */
+export const holderRecordSchema = z.object({
+	/** A relay holds no grants; its record only announces it. */
+	role: z.enum(['gateway', 'relay']),
+	/** The daemon's name. */
+	daemon: z.string(),
+	/** Identifier of one run of the daemon's process. */
+	incarnation: z.string(),
+	/** Address at which other gateways reach it: IP address and port. */
+	address: z.string(),
+	/** Address at which a gateway receives gossip from other gateways: IP address and port. */
+	newsAddress: z.string().optional(),
+	failureDomain: z.string(),
+	/** The deployment version from which the writer took the amounts bought. */
+	version: z.number().int(),
+	/** Increases with each record of the incarnation. */
+	sequence: z.number().int(),
+	/** Total tokens granted to the incarnation, by customer. */
+	granted: z.record(z.string(), z.number().nonnegative()),
+	/** Tokens per second requested by callers when the record was written, by customer; read by the daemon's next incarnation. */
+	rates: z.record(z.string(), z.number().nonnegative()).optional(),
+	/** True if the incarnation has stopped; `granted` then holds only the tokens it used. */
+	hasEnded: z.boolean(),
+});
+
+/** Record of one incarnation of a gateway or relay. */
+export type HolderRecord = z.infer<typeof holderRecordSchema>;
+
+/** Registry of the tokens granted to every gateway. */
+export type GrantBook = ReturnType<typeof createGrantBook>;
+
+/**
+ * Creates an empty registry.
+ *
+ * @example
+ * ```ts
+ * const registry = createGrantBook();
+ * registry.put('entry-1/i-9', record);
+ * registry.sumGranted('city-1');
+ * ```
+ *
+ * @returns The registry
+ */
+export function createGrantBook() {
+	const holders = new Map<string, HolderRecord>();
+	const grantedByCustomer = new Map<string, number>();
+	let newestVersion = Number.NEGATIVE_INFINITY;
+	let runningHolders: HolderRecord[] | undefined;
+
+	function addGranted({granted}: HolderRecord, sign: 1 | -1): void {
+		for (const [customer, tokens] of Object.entries(granted)) {
+			grantedByCustomer.set(customer, (grantedByCustomer.get(customer) ?? 0) + (sign * tokens));
+		}
+	}
+
+	function findRunning(): HolderRecord[] {
+		const newestByDaemon = new Map<string, HolderRecord>();
+		for (const holder of holders.values()) {
+			const current = newestByDaemon.get(holder.daemon);
+			if (!current || current.incarnation < holder.incarnation) {
+				newestByDaemon.set(holder.daemon, holder);
+			}
+		}
+
+		return [...newestByDaemon.values()].filter(holder => !holder.hasEnded);
+	}
+
+	return {
+		put(key: string, record: HolderRecord): void {
+			const previous = holders.get(key);
+			if (previous) {
+				addGranted(previous, -1);
+			}
+
+			addGranted(record, 1);
+			holders.set(key, record);
+			newestVersion = Math.max(newestVersion, record.version);
+			runningHolders = undefined;
+		},
+
+		get: (key: string): HolderRecord | undefined => holders.get(key),
+		list: (): HolderRecord[] => [...holders.values()],
+
+		/** Returns the tokens of a customer's budget granted to all holders, without those of `excludedKey`. */
+		sumGranted(customer: string, excludedKey?: string): number {
+			const excludedTokens = excludedKey === undefined ? 0 : holders.get(excludedKey)?.granted[customer] ?? 0;
+			return (grantedByCustomer.get(customer) ?? 0) - excludedTokens;
+		},
+
+		/** Returns the newest deployment version that any writer had read. */
+		findNewestVersion: (): number => newestVersion,
+
+		/** Returns the record of the newest incarnation of a daemon before the given one. */
+		findPredecessor(daemon: string, incarnation: string): HolderRecord | undefined {
+			const earlier = [...holders.values()].filter(holder => holder.daemon === daemon && holder.incarnation < incarnation);
+			return earlier.sort((left, right) => left.incarnation < right.incarnation ? 1 : -1)[0];
+		},
+
+		/** Returns the record of each daemon's newest incarnation, without daemons whose newest incarnation has stopped. */
+		listRunning(): readonly HolderRecord[] {
+			runningHolders ??= findRunning();
+			return runningHolders;
+		},
+	};
+}
--- a/src/state/ledger.ts
+++ b/src/state/ledger.ts
@@ -1,69 +1,69 @@
 /**
- * The ledger of budgets, folded from the log.
+ * Token budgets and their grants, folded from the log.
  *
- * A grant is a right that is used up, never a lease that expires: a paused
- * holder cannot know that time passed, so time plays no part here. A claim is
- * worth what remains of the budget at its offset.
+ * A grant is a right that is used up, not a lease: it never expires, because a
+ * paused holder cannot know how much time has passed. A claim is granted at
+ * most the tokens that remain in the budget at the claim's offset.
  *
- * Invariant: for each budget, `retired` plus the open grants' `amount` minus
- * `refunded` never exceeds `bought`.
+ * Invariant: for each budget, `retired` plus the `amount` of its open grants
+ * minus `refunded` never exceeds `bought`.
  *
  * @module
  */
 import type {GrantShare, Receipt, RecordOf} from '../protocol/mod.js';
 import {sumShares} from './shares.js';
 
-/** A budget as the log knows it; all amounts in tokens. */
+/** State of a budget; all amounts are in tokens. */
 export type BudgetState = {
 	id: string;
 	bought: number;
-	/** Used up under grants that have ended. */
+	/** Used under grants that have ended. */
 	retired: number;
 	/** Billed by receipts. */
 	billed: number;
-	/** Generated but not billed, because another receipt came first or the incarnation was superseded. */
+	/** Generated but not billed, because the request already had a receipt or the incarnation had been superseded. */
 	burnt: number;
-	/** Given back because a request was billed under another grant already. */
+	/** Returned because the request had already been billed under another grant. */
 	refunded: number;
 };
 
-/** A grant as the log knows it. */
+/** State of a grant. */
 export type GrantState = {
 	id: string;
-	/** Offset of its claim. */
+	/** Log offset of its claim. */
 	offset: number;
 	budget: string;
 	daemon: string;
 	incarnation: string;
 	/** Tokens granted and not released. */
 	amount: number;
-	/** Set once closed: the incarnations that must still report. */
+	/** Upstream incarnations that have yet to report; set when the grant is closed. */
 	waitsFor?: string[];
-	/** Sum of the receipts folded under it. */
+	/** Total tokens of the receipts folded for it. */
 	receipted: number;
-	/** True when an incarnation that may have run work under it ended without appending all its receipts. */
+	/** True if an upstream incarnation that may have run requests under it ended without appending all its receipts. */
 	uncertain: boolean;
 };
 
-/** What one attempt at a request cost, in tokens. */
+/** Cost of one attempt at a request, in tokens. */
 export type AttemptCost = {attempt: number; cost: number};
 
-/** The receipts of a request: the first is the bill, the others were given back. */
+/** Receipts of a request: the first one is billed, the `repeats` are refunded. */
 export type BilledReceipt = AttemptCost & {at: number; repeats: AttemptCost[]};
 
 /** Serialisable form of the ledger. */
 export type LedgerSnapshot = {
 	budgets: BudgetState[];
 	grants: GrantState[];
-	/** Releases, in order of arrival, that were folded. */
+	/** Identifiers and log times of the folded releases, in log order. */
 	releases: Array<[string, number]>;
 	receipts: Array<[string, BilledReceipt]>;
-	/** The last batch of receipts folded, for each incarnation. */
+	/** Number of the last batch of receipts folded for each incarnation. */
 	batches: Array<[string, number]>;
 };
 
 /**
- * Formats the identity of one incarnation of a daemon.
+ * Formats the identifier of one incarnation of a daemon.
  *
  * @example
  * ```ts
@@ -71,46 +71,46 @@
  * ```
  *
  * @param daemon The daemon's name
- * @param incarnation The identity of one run of its process
- * @returns Both in one text
+ * @param incarnation The identifier of one run of its process
+ * @returns The identifier, `daemon/incarnation`
  */
 export function formatIncarnation(daemon: string, incarnation: string): string {
 	return `${daemon}/${incarnation}`;
 }
 
-const budgetMark = '@';
+const budgetSeparator = '@';
 
 /**
- * Formats a grant's identity, which names its budget so that receipts can be
- * booked after the grant has ended.
+ * Formats the identifier of a grant. It contains the identifier of the budget,
+ * so that receipts can be booked after the grant has ended.
  *
  * @example
  * ```ts
  * formatGrant('g-1', 'b1'); // 'g-1@b1'
  * ```
  *
- * @param id A unique identity
- * @param budget The budget's identity, which holds no `@`
- * @returns The grant's identity
+ * @param id A unique identifier
+ * @param budget The budget's identifier, which contains no `@`
+ * @returns The grant's identifier
  */
 export function formatGrant(id: string, budget: string): string {
-	return `${id}${budgetMark}${budget}`;
+	return `${id}${budgetSeparator}${budget}`;
 }
 
 /** @internal */
-function parseBudget(grant: string): string {
-	return grant.slice(grant.indexOf(budgetMark) + 1);
+function parseGrantBudget(grant: string): string {
+	return grant.slice(grant.indexOf(budgetSeparator) + 1);
 }
 
 /** Options of {@linkcode createLedger}. */
 export type CreateLedgerOptions = {
-	/** How long receipts and release ids stay known, in milliseconds of the log's clock. */
-	readonly window: number;
+	/** How long receipts and release identifiers are kept, by the log's clock. */
+	readonly retentionMs: number;
 	/** Snapshot to start from; default empty. */
 	readonly snapshot?: LedgerSnapshot;
 };
 
-/** The ledger; each `fold…` takes one record at its offset. */
+/** Ledger of budgets and grants; each `fold…` method applies one log record. */
 export type Ledger = ReturnType<typeof createLedger>;
 
 /**
@@ -118,13 +118,13 @@
  *
  * @example
  * ```ts
- * const ledger = createLedger({window: 3_600_000});
+ * const ledger = createLedger({retentionMs: 3_600_000});
  * ledger.foldTopUp('b1', 1000);
  * ledger.foldClaim({kind: 'claim', grant: 'g1', budget: 'b1', daemon: 'e1', incarnation: 'i', amount: 5000}, 7);
  * ledger.findGrant('g1')?.amount; // 1000
  * ```
  *
- * @param options The window and a snapshot to start from
+ * @param options The retention period and a snapshot to start from
  * @returns The ledger
  */
 export function createLedger(options: CreateLedgerOptions) {
@@ -133,13 +133,13 @@
 	const releases = new Map(options.snapshot?.releases);
 	const receipts = new Map(options.snapshot?.receipts.map(([request, receipt]) => [request, {...receipt, repeats: [...receipt.repeats]}]));
 	const batches = new Map(options.snapshot?.batches);
-	const committed = new Map<string, number>();
+	const committedTokens = new Map<string, number>();
 	for (const grant of grants.values()) {
-		addCommitted(grant.budget, grant.amount);
+		addCommittedTokens(grant.budget, grant.amount);
 	}
 
-	function addCommitted(budget: string, amount: number): void {
-		committed.set(budget, (committed.get(budget) ?? 0) + amount);
+	function addCommittedTokens(budget: string, amount: number): void {
+		committedTokens.set(budget, (committedTokens.get(budget) ?? 0) + amount);
 	}
 
 	function ensureBudget(id: string): BudgetState {
@@ -156,42 +156,42 @@
 
 	function computeRemaining(id: string): number {
 		const budget = budgets.get(id);
-		return budget ? budget.bought + budget.refunded - budget.retired - (committed.get(id) ?? 0) : 0;
+		return budget ? budget.bought + budget.refunded - budget.retired - (committedTokens.get(id) ?? 0) : 0;
 	}
 
-	function endGrant(grant: GrantState, used: number): void {
-		ensureBudget(grant.budget).retired += used;
-		addCommitted(grant.budget, -grant.amount);
+	function endGrant(grant: GrantState, usedTokens: number): void {
+		ensureBudget(grant.budget).retired += usedTokens;
+		addCommittedTokens(grant.budget, -grant.amount);
 		grants.delete(grant.id);
 	}
 
-	// Receipts that were never appended cannot be known, so an uncertain grant counts as used up: the safe direction.
-	function endWhenReported(grant: GrantState): void {
+	// Receipts that were never appended are unknown, so an uncertain grant counts as fully used. This cannot overspend the budget.
+	function endGrantIfReported(grant: GrantState): void {
 		if (grant.waitsFor?.length === 0) {
 			endGrant(grant, grant.uncertain ? grant.amount : Math.min(grant.amount, grant.receipted));
 		}
 	}
 
-	function foldReceipt(receipt: Receipt, at: number): void {
+	function foldReceipt(receipt: Receipt, timestampMs: number): void {
 		const {request, attempt, shares} = receipt;
 		const cost = sumShares(shares);
-		// One request ran twice, under two upstream daemons that could not see each other: the first receipt is the bill.
-		const first = receipts.get(request);
-		if (first) {
-			first.repeats.push({attempt, cost});
+		// A request may run at two upstream daemons that cannot reach each other; only its first receipt is billed.
+		const billedReceipt = receipts.get(request);
+		if (billedReceipt) {
+			billedReceipt.repeats.push({attempt, cost});
 		} else {
 			receipts.set(request, {
-				at, attempt, cost, repeats: [],
+				at: timestampMs, attempt, cost, repeats: [],
 			});
 		}
 
 		for (const share of shares) {
-			foldShare(share, first !== undefined);
+			foldShare(share, billedReceipt !== undefined);
 		}
 	}
 
 	function foldShare(share: GrantShare, isRepeated: boolean): void {
-		const budget = budgets.get(parseBudget(share.grant));
+		const budget = budgets.get(parseGrantBudget(share.grant));
 		const grant = grants.get(share.grant);
 		if (grant) {
 			grant.receipted += share.amount;
@@ -210,10 +210,10 @@
 		budget.billed += share.amount;
 	}
 
-	// Keeps a map, whose insertion order is the log's, to the window.
-	function dropOlder<Value>(map: Map<string, Value>, at: number, pickAt: (value: Value) => number): void {
+	// Deletes entries older than the retention period. The map is in log order, so the first entry to keep ends the scan.
+	function evictExpired<Value>(map: Map<string, Value>, nowMs: number, getTimestampMs: (value: Value) => number): void {
 		for (const [key, value] of map) {
-			if (pickAt(value) >= at - options.window) {
+			if (getTimestampMs(value) >= nowMs - options.retentionMs) {
 				return;
 			}
 
@@ -227,7 +227,7 @@
 		},
 
 		foldClaim(record: RecordOf<'claim'>, offset: number): void {
-			// An append whose answer was lost may stand twice on the log; the second copy is worth nothing.
+			// A claim is appended again if the answer to its append is lost; the duplicate grants nothing.
 			if (grants.has(record.grant)) {
 				return;
 			}
@@ -240,21 +240,21 @@
 			grants.set(record.grant, {
 				id: record.grant, offset, budget: record.budget, daemon: record.daemon, incarnation: record.incarnation, amount, receipted: 0, uncertain: false,
 			});
-			addCommitted(record.budget, amount);
+			addCommittedTokens(record.budget, amount);
 		},
 
-		foldRelease(record: RecordOf<'release'>, at: number): void {
+		foldRelease(record: RecordOf<'release'>, timestampMs: number): void {
 			const grant = grants.get(record.grant);
-			// A closed grant's rest is worked out from the reports; a release that crossed the close would return it twice.
+			// The unused part of a closed grant is computed from the upstreams' reports; a release recorded after the close would return it twice.
 			if (!grant || grant.waitsFor !== undefined || releases.has(record.id)) {
 				return;
 			}
 
-			dropOlder(releases, at, seenAt => seenAt);
-			releases.set(record.id, at);
+			evictExpired(releases, timestampMs, foldedAt => foldedAt);
+			releases.set(record.id, timestampMs);
 			const amount = Math.min(record.amount, grant.amount);
 			grant.amount -= amount;
-			addCommitted(grant.budget, -amount);
+			addCommittedTokens(grant.budget, -amount);
 			if (record.final) {
 				endGrant(grant, grant.amount);
 			}
@@ -264,7 +264,7 @@
 			const grant = grants.get(record.grant);
 			if (grant && !grant.waitsFor) {
 				grant.waitsFor = [...upstreams];
-				endWhenReported(grant);
+				endGrantIfReported(grant);
 			}
 		},
 
@@ -274,12 +274,12 @@
 				const grant = grants.get(id);
 				if (grant?.waitsFor) {
 					grant.waitsFor = grant.waitsFor.filter(waiting => waiting !== reporter);
-					endWhenReported(grant);
+					endGrantIfReported(grant);
 				}
 			}
 		},
 
-		/** Folds the end of an upstream daemon's incarnation; `graceful` when all its receipts are on the log. */
+		/** Folds the end of an upstream daemon's incarnation; `graceful` means that the log has all its receipts. */
 		foldEnd(incarnation: string, graceful: boolean): void {
 			batches.delete(incarnation);
 			for (const grant of grants.values()) {
@@ -289,29 +289,29 @@
 
 				if (grant.waitsFor) {
 					grant.waitsFor = grant.waitsFor.filter(waiting => waiting !== incarnation);
-					endWhenReported(grant);
+					endGrantIfReported(grant);
 				}
 			}
 		},
 
-		foldReceipts(record: RecordOf<'receipts'>, at: number): void {
+		foldReceipts(record: RecordOf<'receipts'>, timestampMs: number): void {
 			const incarnation = formatIncarnation(record.daemon, record.incarnation);
-			// A batch whose append answer was lost may stand twice; its copy would look like requests that ran twice and be refunded.
+			// A batch is appended again if the answer to its append is lost; the duplicate would be refunded like requests that ran twice.
 			if (record.sequence <= (batches.get(incarnation) ?? 0)) {
 				return;
 			}
 
 			batches.set(incarnation, record.sequence);
-			dropOlder(receipts, at, receipt => receipt.at);
+			evictExpired(receipts, timestampMs, receipt => receipt.at);
 			for (const receipt of record.receipts) {
-				foldReceipt(receipt, at);
+				foldReceipt(receipt, timestampMs);
 			}
 		},
 
-		/** Counts receipts of an ended incarnation: their reservations were given up on at its end. */
+		/** Counts receipts of an ended incarnation as burnt: their reservations were written off when it ended. */
 		foldLateReceipts(record: RecordOf<'receipts'>): void {
 			for (const share of record.receipts.flatMap(receipt => receipt.shares)) {
-				const budget = budgets.get(parseBudget(share.grant));
+				const budget = budgets.get(parseGrantBudget(share.grant));
 				if (budget) {
 					budget.burnt += share.amount;
 				}
@@ -322,19 +322,19 @@
 		findGrant: (id: string): Readonly<GrantState> | undefined => grants.get(id),
 		listGrants: (): Iterable<Readonly<GrantState>> => grants.values(),
 		listBudgets: (): Iterable<Readonly<BudgetState>> => budgets.values(),
-		/** The tokens billed for a request, or undefined when no receipt is known. */
+		/** Returns the tokens billed for a request, or undefined if it has no receipt. */
 		findReceipt: (request: string): number | undefined => receipts.get(request)?.cost,
-		/** What one attempt at a request cost, by its receipt; 0 without one. */
+		/** Returns the cost of one attempt at a request according to its receipt, or 0 without a receipt. */
 		findAttemptCost(request: string, attempt: number): number {
-			const known = receipts.get(request);
-			const costs = known ? [known, ...known.repeats] : [];
+			const receipt = receipts.get(request);
+			const costs = receipt ? [receipt, ...receipt.repeats] : [];
 			return costs.find(item => item.attempt === attempt)?.cost ?? 0;
 		},
 
-		/** Number of the last batch of receipts folded for an incarnation. */
+		/** Returns the number of the last batch of receipts folded for an incarnation, or 0. */
 		findLastBatch: (incarnation: string): number => batches.get(incarnation) ?? 0,
 		hasRelease: (id: string): boolean => releases.has(id),
-		/** Tokens of a budget that no grant holds. */
+		/** Returns the tokens of a budget that are not granted. */
 		computeRemaining,
 
 		buildSnapshot(): LedgerSnapshot {
--- a/src/state/peer-views.test.ts
+++ b/src/state/peer-views.test.ts
@@ -8,7 +8,7 @@
 	};
 }
 
-test('an entry is news once, and never after a newer one', () => {
+test('an entry is new only once, and never after a newer entry', () => {
 	const views = createPeerViews();
 	views.put(buildView('e1', 'b', []), {sequence: 5, now: 0});
 	expect(views.isNews({daemon: 'e1', incarnation: 'b', sequence: 5})).toBe(false);
@@ -17,7 +17,7 @@
 	expect(views.isNews({daemon: 'e1', incarnation: 'c', sequence: 1})).toBe(true);
 });
 
-test('views older than the bound are dropped with their requests', () => {
+test('views older than the limit are deleted and their requests subtracted from the sums', () => {
 	const views = createPeerViews();
 	views.put(buildView('e1', 'a', [{upstream: 'u', inFlight: 2, waitingTokens: 10}]), {sequence: 1, now: 0});
 	views.put(buildView('e2', 'a', [{upstream: 'u', inFlight: 1, waitingTokens: 5}]), {sequence: 1, now: 100});
@@ -25,8 +25,8 @@
 	expect(views.sumUse('u')).toEqual({upstream: 'u', inFlight: 1, waitingTokens: 5});
 });
 
-// Guards against sums that drift from the views: an upstream would look loaded, or empty, for good.
-test('the sums are those of the views after any changes', () => {
+// If the sums deviated from the views, an upstream would look loaded or idle permanently.
+test('the sums match the views after any changes', () => {
 	const use = fc.record({upstream: fc.constantFrom('u1', 'u2'), inFlight: fc.nat(5), waitingTokens: fc.nat(100)});
 	const change = fc.record({daemon: fc.constantFrom('e1', 'e2', 'e3'), uses: fc.uniqueArray(use, {selector: item => item.upstream}), isDropped: fc.boolean()});
 	fc.assert(fc.property(fc.array(change), changes => {
--- a/src/state/placement.ts
+++ b/src/state/placement.ts
@@ -1,29 +1,29 @@
 /**
- * Which incarnations of which daemons the log knows.
+ * The current incarnation of each daemon, folded from the log.
  *
- * Ownership read from here is a hint for cheap routing; what counts is decided
- * by the log's order. Ending an incarnation in the log fences it, as epochs do
- * in the jaque cluster design (docs/DECISIONS.md).
+ * Ownership read from here is only a routing hint; the order of records in the
+ * log is authoritative. Ending an incarnation in the log fences it, as epochs
+ * do in the jaque cluster design (docs/DECISIONS.md).
  *
  * @module
  */
 import type {Join, RecordOf} from '../protocol/mod.js';
 import {formatIncarnation} from './ledger.js';
 
-/** A daemon's current incarnation. */
+/** The current incarnation of a daemon. */
 export type Member = Join & {offset: number};
 
 /** Serialisable form of the placement. */
 export type PlacementSnapshot = {members: Member[]};
 
-/** An incarnation that ended, and whether all its receipts are on the log. */
+/** An incarnation that has ended; `graceful` means that the log has all its receipts. */
 export type EndedIncarnation = {readonly member: Member; readonly graceful: boolean};
 
-/** The placement; each `fold…` takes one record. */
+/** Current incarnations of all daemons; each `fold…` method applies one log record. */
 export type Placement = ReturnType<typeof createPlacement>;
 
 /**
- * Creates a placement.
+ * Creates the placement.
  *
  * @example
  * ```ts
@@ -44,24 +44,24 @@
 	return {
 		/** Folds a join and returns the incarnation that it ended, if any. */
 		foldJoin(record: Join, offset: number): EndedIncarnation | undefined {
-			const before = members.get(record.daemon);
-			if (before?.incarnation === record.incarnation) {
+			const previous = members.get(record.daemon);
+			if (previous?.incarnation === record.incarnation) {
 				return undefined;
 			}
 
 			members.set(record.daemon, {...record, offset});
-			return before && {member: before, graceful: false};
+			return previous && {member: previous, graceful: false};
 		},
 
 		/** Folds a leave and returns the incarnation that it ended, if any. */
 		foldLeave(record: RecordOf<'leave'>): EndedIncarnation | undefined {
-			const before = members.get(record.daemon);
-			if (before?.incarnation !== record.incarnation) {
+			const previous = members.get(record.daemon);
+			if (previous?.incarnation !== record.incarnation) {
 				return undefined;
 			}
 
 			members.delete(record.daemon);
-			return {member: before, graceful: record.graceful};
+			return {member: previous, graceful: record.graceful};
 		},
 
 		isCurrent: (daemon: string, incarnation: string): boolean => members.get(daemon)?.incarnation === incarnation,
--- a/src/state/prompt-cache.ts
+++ b/src/state/prompt-cache.ts
@@ -1,32 +1,32 @@
 /**
- * Which parts of prompts each upstream is believed to keep in its cache.
+ * Estimate of the prompt parts that each upstream has in its cache.
  *
- * Engines keep what they have read until memory runs short, the least recently
- * used first. What gateways have sent tells most of it; what an engine dropped
- * does not show, so an entry is a guess.
+ * Engines keep prompts that they have read until memory is exhausted, and then
+ * evict the least recently used parts. The estimate follows the prompts that
+ * gateways have sent. Evictions by the engine are not visible, so it may be wrong.
  *
  * @module
  */
 import type {PromptPart} from '../protocol/mod.js';
 
-/** Share of an engine's memory that cached parts are taken to fill; running requests need the rest. */
-const cachedShare = 0.7;
+/** Fraction of an engine's memory assumed to hold cached parts; running requests need the rest. */
+const cacheFraction = 0.7;
 
-/** A prompt that an upstream reads and then keeps. */
+/** A prompt that an upstream reads and then caches. */
 export type PlacedPrompt = {
 	readonly upstream: string;
-	/** Tokens that the upstream's memory holds. */
+	/** Capacity of the upstream's memory, in tokens. */
 	readonly memory: number;
 	readonly parts: PromptPart[];
 };
 
-/** What upstreams are believed to keep. */
+/** Estimated contents of the prompt caches of all upstreams. */
 export type PromptCache = ReturnType<typeof createPromptCache>;
 
-type Held = {readonly parts: Map<string, number>; tokens: number; memory: number};
+type UpstreamCache = {readonly parts: Map<string, number>; tokens: number; memory: number};
 
 /**
- * Creates an empty view of the caches.
+ * Creates an empty estimate.
  *
  * @example
  * ```ts
@@ -35,59 +35,59 @@
  * cache.countCached('i-7', [{id: 'a', tokens: 900}, {id: 'c', tokens: 50}]); // 900
  * ```
  *
- * @returns The view
+ * @returns The estimate
  */
 export function createPromptCache() {
-	const caches = new Map<string, Held>();
+	const caches = new Map<string, UpstreamCache>();
 
-	function ensureHeld(upstream: string): Held {
-		const known = caches.get(upstream) ?? {parts: new Map<string, number>(), tokens: 0, memory: 0};
-		caches.set(upstream, known);
-		return known;
+	function ensureCache(upstream: string): UpstreamCache {
+		const cache = caches.get(upstream) ?? {parts: new Map<string, number>(), tokens: 0, memory: 0};
+		caches.set(upstream, cache);
+		return cache;
 	}
 
-	function dropOldest(held: Held, limit: number): void {
-		for (const [id, tokens] of held.parts) {
-			if (held.tokens <= limit) {
+	function evictLeastRecentlyUsed(cache: UpstreamCache, limit: number): void {
+		for (const [id, tokens] of cache.parts) {
+			if (cache.tokens <= limit) {
 				return;
 			}
 
-			held.parts.delete(id);
-			held.tokens -= tokens;
+			cache.parts.delete(id);
+			cache.tokens -= tokens;
 		}
 	}
 
 	return {
-		/** Notes that an upstream reads a prompt; `memory` is its size in tokens. */
-		note(upstream: string, parts: readonly PromptPart[], memory: number): void {
-			const held = ensureHeld(upstream);
-			held.memory = memory;
+		/** Records that an upstream reads a prompt; `memoryTokens` is the capacity of the upstream's memory. */
+		note(upstream: string, parts: readonly PromptPart[], memoryTokens: number): void {
+			const cache = ensureCache(upstream);
+			cache.memory = memoryTokens;
 			for (const {id, tokens} of parts) {
-				held.tokens += tokens - (held.parts.get(id) ?? 0);
-				// Taken out first, so that the order of the map is that of the last use.
-				held.parts.delete(id);
-				held.parts.set(id, tokens);
+				cache.tokens += tokens - (cache.parts.get(id) ?? 0);
+				// Deleted before it is set again, so that the map is in order of last use.
+				cache.parts.delete(id);
+				cache.parts.set(id, tokens);
 			}
 
-			dropOldest(held, memory * cachedShare);
+			evictLeastRecentlyUsed(cache, memoryTokens * cacheFraction);
 		},
 
-		/** Tokens of a prompt that an upstream need not read: its parts up to the first that it does not keep. */
+		/** Returns the tokens of a prompt that an upstream need not read: those of its parts before the first uncached one. */
 		countCached(upstream: string, parts: readonly PromptPart[]): number {
-			const held = caches.get(upstream);
-			let cached = 0;
+			const cache = caches.get(upstream);
+			let cachedTokens = 0;
 			for (const {id, tokens} of parts) {
-				if (!held?.parts.has(id)) {
-					return cached;
+				if (!cache?.parts.has(id)) {
+					return cachedTokens;
 				}
 
-				cached += tokens;
+				cachedTokens += tokens;
 			}
 
-			return cached;
+			return cachedTokens;
 		},
 
-		/** All parts that upstreams are believed to keep, the least recently used first. */
+		/** Returns all parts assumed to be cached, by upstream, the least recently used first. */
 		list: () => [...caches].map(([upstream, {parts, memory}]) => ({upstream, memory, parts: [...parts].map(([id, tokens]): PromptPart => ({id, tokens}))})),
 
 		drop(upstream: string): void {
--- a/src/state/request-table.test.ts
+++ b/src/state/request-table.test.ts
@@ -6,7 +6,7 @@
 	attempt: 1, incarnation: 'i', payloadDigest: 'd', shares: [],
 };
 
-test('close() drops the oldest answers over the bound and remembers their bills', () => {
+test('close() evicts the oldest answers over the limit and keeps their bills', () => {
 	const table = createRequestTable({bytes: 10});
 	for (const id of ['r1', 'r2']) {
 		const request = table.open(id, open);
@@ -20,7 +20,7 @@
 	expect(table.countFinishedBytes()).toBe(8);
 });
 
-test('fence() stops one attempt and not the next one', () => {
+test('fence() fences one attempt and not the next one', () => {
 	const table = createRequestTable({bytes: 10});
 	table.fence('r1', 1);
 	expect([table.isFenced('r1', 1), table.isFenced('r1', 2)]).toEqual([true, false]);
--- a/src/state/request-table.ts
+++ b/src/state/request-table.ts
@@ -1,8 +1,9 @@
 /**
  * Running and recent requests of one upstream daemon, in bounded memory.
  *
- * A caller's retry through any entry finds its request here and attaches to
- * it: it gets the same frames from the first one on, without a second run.
+ * A retry that a caller sends through any entry daemon finds its request here
+ * and attaches to it: the caller receives the same frames from the first one
+ * on, and the request does not run twice.
  *
  * @module
  */
@@ -10,7 +11,7 @@
 import Emittery from 'emittery';
 import type {Failure, GrantShare} from '../protocol/mod.js';
 
-/** How a whole answer ended. */
+/** Summary of a complete answer. */
 export type AnswerEnd = {
 	readonly chunks: number;
 	readonly length: number;
@@ -20,7 +21,7 @@
 	readonly completionTokens: number;
 	readonly billed: readonly GrantShare[];
 	readonly finishReason: string;
-	/** HTTP status of a plain service's answer; 200 for models. */
+	/** HTTP status of the answer of a plain service; 200 for models. */
 	readonly status: number;
 };
 
@@ -33,24 +34,24 @@
 	readonly status?: number;
 };
 
-/** One request in the table. */
+/** A request in the table. */
 export type TrackedRequest = {
 	readonly id: string;
-	/** The attempt that started it and whose reservation it is billed to. */
+	/** The attempt that started the request and whose reservation is billed. */
 	readonly attempt: number;
-	/** The incarnation of this daemon that started it. */
+	/** The incarnation of this daemon that started the request. */
 	readonly incarnation: string;
 	readonly payloadDigest: string;
 	readonly shares: readonly GrantShare[];
 	readonly chunks: Uint8Array[];
 	readonly events: Emittery<{changed: undefined}>;
-	/** Aborted when the caller has left or the daemon must stop. */
+	/** Aborted when the caller has disconnected or the daemon must stop. */
 	readonly stopper: AbortController;
-	/** Set by the end of a whole answer. */
+	/** Set when the answer is complete. */
 	end?: AnswerEnd;
 	/** Set when the request failed. */
 	failure?: Failure;
-	/** Tokens billed though the request failed, such as those of a cancelled stream. */
+	/** Tokens billed, also for a failed request such as a cancelled stream. */
 	billed: readonly GrantShare[];
 	isEnded: () => boolean;
 	push: (chunk: Uint8Array) => void;
@@ -58,18 +59,18 @@
 	fail: (failure: Failure, billed?: readonly GrantShare[]) => void;
 };
 
-/** What the table knows of a request. */
-export type Lookup =
+/** Result of a look-up; `gone` means that the request has ended and its answer was evicted. */
+export type RequestLookup =
 	| {readonly kind: 'unknown'}
 	| {readonly kind: 'tracked'; readonly request: TrackedRequest}
 	| {readonly kind: 'gone'; readonly attempt: number; readonly billed: readonly GrantShare[]};
 
 /** Options of {@linkcode createRequestTable}. */
 export type CreateRequestTableOptions = {
-	/** Bytes that finished answers may take. */
+	/** Maximum total size of the answers of finished requests, in bytes. */
 	readonly bytes: number;
-	/** Identities of requests kept after their answers were dropped; default 100000. */
-	readonly tombstones?: number;
+	/** Maximum number of requests remembered after their answers were evicted, and of fenced attempts; default 100000. */
+	readonly maxTombstones?: number;
 };
 
 /** Options of {@linkcode RequestTable.open}. */
@@ -80,15 +81,15 @@
 	readonly shares: readonly GrantShare[];
 };
 
-const defaultTombstones = 100_000;
+const defaultMaxTombstones = 100_000;
 
-/** The table of one upstream daemon. */
+/** Request table of one upstream daemon. */
 export type RequestTable = ReturnType<typeof createRequestTable>;
 
 /** @internal */
 function createTrackedRequest(id: string, options: OpenRequestOptions): TrackedRequest {
 	const hash = createHash('sha256');
-	let length = 0;
+	let byteLength = 0;
 	const request: TrackedRequest = {
 		id,
 		attempt: options.attempt,
@@ -102,21 +103,21 @@
 		isEnded: () => Boolean(request.end ?? request.failure),
 		push(chunk) {
 			hash.update(chunk);
-			length += chunk.length;
+			byteLength += chunk.length;
 			request.chunks.push(chunk);
 			void request.events.emit('changed');
 		},
-		finish(finish) {
-			request.billed = finish.billed;
+		finish(finishOptions) {
+			request.billed = finishOptions.billed;
 			request.end = {
 				chunks: request.chunks.length,
-				length,
+				length: byteLength,
 				digest: hash.digest('hex'),
-				promptTokens: finish.promptTokens ?? 0,
-				completionTokens: finish.completionTokens ?? 0,
-				billed: finish.billed,
-				finishReason: finish.finishReason ?? 'stop',
-				status: finish.status ?? 200,
+				promptTokens: finishOptions.promptTokens ?? 0,
+				completionTokens: finishOptions.completionTokens ?? 0,
+				billed: finishOptions.billed,
+				finishReason: finishOptions.finishReason ?? 'stop',
+				status: finishOptions.status ?? 200,
 			};
 			void request.events.emit('changed');
 		},
@@ -144,18 +145,18 @@
  * table.get('r-1').kind; // 'tracked'
  * ```
  *
- * @param options Bounds on memory
+ * @param options Limits on memory
  * @returns The table
  */
 export function createRequestTable(options: CreateRequestTableOptions) {
-	const tombstoneLimit = options.tombstones ?? defaultTombstones;
+	const maxTombstones = options.maxTombstones ?? defaultMaxTombstones;
 	const running = new Map<string, TrackedRequest>();
 	const finished = new Map<string, TrackedRequest>();
-	const gone = new Map<string, {attempt: number; billed: readonly GrantShare[]}>();
-	const fenced = new Set<string>();
+	const tombstones = new Map<string, {attempt: number; billed: readonly GrantShare[]}>();
+	const fencedAttempts = new Set<string>();
 	let finishedBytes = 0;
 
-	function dropAnswers(): void {
+	function evictFinished(): void {
 		for (const [id, request] of finished) {
 			if (finishedBytes <= options.bytes) {
 				return;
@@ -163,13 +164,13 @@
 
 			finished.delete(id);
 			finishedBytes -= countBytes(request);
-			gone.set(id, {attempt: request.attempt, billed: request.billed});
+			tombstones.set(id, {attempt: request.attempt, billed: request.billed});
 		}
 	}
 
-	function dropOldest(entries: Map<string, unknown> | Set<string>): void {
+	function evictOldest(entries: Map<string, unknown> | Set<string>): void {
 		for (const id of entries.keys()) {
-			if (entries.size <= tombstoneLimit) {
+			if (entries.size <= maxTombstones) {
 				return;
 			}
 
@@ -178,48 +179,48 @@
 	}
 
 	return {
-		open(id: string, open: OpenRequestOptions): TrackedRequest {
-			const request = createTrackedRequest(id, open);
+		open(id: string, requestOptions: OpenRequestOptions): TrackedRequest {
+			const request = createTrackedRequest(id, requestOptions);
 			running.set(id, request);
 			return request;
 		},
 
-		/** Moves an ended request to the finished ones; drops the oldest answers over the bound. */
+		/** Moves an ended request to the finished ones, and evicts the oldest answers over the limit. */
 		close(request: TrackedRequest): void {
 			running.delete(request.id);
 			finished.set(request.id, request);
 			finishedBytes += countBytes(request);
-			dropAnswers();
-			dropOldest(gone);
+			evictFinished();
+			evictOldest(tombstones);
 		},
 
-		/** Forgets a request that did not run, so that it may be sent again. */
+		/** Removes a request that did not run, so that it can be sent again. */
 		forget(request: TrackedRequest): void {
 			running.delete(request.id);
 		},
 
 		/**
-		 * Promises that an attempt will not start here.
+		 * Fences an attempt: it is refused if it arrives later.
 		 *
-		 * An entry that lost its connection cannot know whether its request
-		 * is still on the way; a late copy would run after the caller was
-		 * told "not run". The fence refuses that copy.
+		 * An entry daemon whose connection failed cannot know whether its request
+		 * is still in transit. Without the fence, the request could run after
+		 * the caller had received the answer "not run".
 		 */
 		fence(id: string, attempt: number): void {
-			fenced.add(`${id}/${attempt}`);
-			dropOldest(fenced);
+			fencedAttempts.add(`${id}/${attempt}`);
+			evictOldest(fencedAttempts);
 		},
 
-		isFenced: (id: string, attempt: number): boolean => fenced.has(`${id}/${attempt}`),
+		isFenced: (id: string, attempt: number): boolean => fencedAttempts.has(`${id}/${attempt}`),
 
-		get(id: string): Lookup {
+		get(id: string): RequestLookup {
 			const request = running.get(id) ?? finished.get(id);
 			if (request) {
 				return {kind: 'tracked', request};
 			}
 
-			const ended = gone.get(id);
-			return ended ? {kind: 'gone', ...ended} : {kind: 'unknown'};
+			const tombstone = tombstones.get(id);
+			return tombstone ? {kind: 'gone', ...tombstone} : {kind: 'unknown'};
 		},
 
 		listRunning: (): TrackedRequest[] => [...running.values()],
--- a/src/state/route-table.test.ts
+++ b/src/state/route-table.test.ts
@@ -18,18 +18,18 @@
 	},
 });
 
-test('findRoute takes the longest prefix', () => {
+test('findRoute() returns the route with the longest matching prefix', () => {
 	expect(table.findRoute('beds.example', '/a/b/c')?.id).toBe('long');
 	expect(table.findRoute('BEDS.example:8080', '/a/c')?.id).toBe('short');
 });
 
-test('findRoute refuses a prefix that almost fits', () => {
+test('findRoute() returns undefined if no prefix or host matches exactly', () => {
 	expect(table.findRoute('beds.example', '/ab')).toBeUndefined();
 	expect(table.findRoute('beds.example', '/a')).toBeUndefined();
 	expect(table.findRoute('other.example', '/a/b/')).toBeUndefined();
 });
 
-test('findCustomerByKey knows every key and no other', () => {
+test('findCustomerByKey() finds a customer by any of its keys and by no other key', () => {
 	expect(table.findCustomerByKey('k2')?.id).toBe('c');
 	expect(table.findCustomerByKey('k3')).toBeUndefined();
 });
--- a/src/state/route-table.ts
+++ b/src/state/route-table.ts
@@ -1,5 +1,5 @@
 /**
- * Look-ups in one version of a deployment.
+ * Look-up of routes, services and customers in one version of a deployment.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 	GatewayCustomer, Deployment, Route, GatewayService,
 } from '../protocol/mod.js';
 
-/** Look-ups in one version of a deployment. */
+/** Look-up tables of one version of a deployment. */
 export type RouteTable = ReturnType<typeof createRouteTable>;
 
 /** @internal */
@@ -16,7 +16,7 @@
 }
 
 /**
- * Creates the look-ups of a deployment.
+ * Creates the look-up tables of a deployment.
  *
  * @example
  * ```ts
@@ -25,35 +25,35 @@
  * ```
  *
  * @param deployment One version of the deployment
- * @returns The look-ups
+ * @returns The look-up tables
  */
 export function createRouteTable(deployment: Deployment) {
-	const byHost = new Map<string, Route[]>();
+	const routesByHost = new Map<string, Route[]>();
 	for (const route of deployment.routes) {
 		const host = route.host.toLowerCase();
-		byHost.set(host, [...byHost.get(host) ?? [], route]);
+		routesByHost.set(host, [...routesByHost.get(host) ?? [], route]);
 	}
 
-	for (const routes of byHost.values()) {
+	for (const routes of routesByHost.values()) {
 		routes.sort((left, right) => right.prefix.length - left.prefix.length);
 	}
 
 	const services = new Map<string, GatewayService>(deployment.services.map(service => [service.id, service]));
 	const customers = new Map<string, GatewayCustomer>(deployment.customers?.map(customer => [customer.id, customer]));
-	const byKey = new Map<string, GatewayCustomer>(deployment.customers?.flatMap(customer => customer.keys.map(key => [key, customer] as const)));
+	const customersByKey = new Map<string, GatewayCustomer>(deployment.customers?.flatMap(customer => customer.keys.map(key => [key, customer] as const)));
 
 	return {
 		deployment,
 		version: deployment.version,
-		/** Callers need keys on routes that are not open. */
+		/** True if callers need keys on routes that are not open. */
 		needsKeys: deployment.customers !== undefined,
-		/** The route of a host with the longest prefix that begins the path. */
+		/** Returns the host's route with the longest prefix of the path. */
 		findRoute(host: string, path: string): Route | undefined {
-			return byHost.get(stripPort(host))?.find(route => path.startsWith(route.prefix));
+			return routesByHost.get(stripPort(host))?.find(route => path.startsWith(route.prefix));
 		},
 
 		findService: (id: string): GatewayService | undefined => services.get(id),
 		findCustomer: (id: string): GatewayCustomer | undefined => customers.get(id),
-		findCustomerByKey: (key: string): GatewayCustomer | undefined => byKey.get(key),
+		findCustomerByKey: (key: string): GatewayCustomer | undefined => customersByKey.get(key),
 	};
 }
--- a/src/state/spend.test.ts
+++ b/src/state/spend.test.ts
@@ -5,22 +5,23 @@
 	allocateShares, createFleetState, createGrantHolder, createReceiptBook, formatGrant, type FleetSnapshot, type FleetState, type GrantHolder, type ReceiptBook,
 } from './mod.js';
 
-// A small world of real state modules: actors append to one log and fold it at
-// their own pace, records are duplicated and delayed, incarnations are ended
-// while their daemons live on. Whatever the order, no budget is overspent.
+// Simulates entry and upstream daemons on the real state modules. Each daemon
+// appends to one log and folds it at its own pace; records are duplicated and
+// delayed, and incarnations are ended while their daemons continue to run. No
+// order of these steps may overspend the budget.
 
-const window = 1_000_000;
+const retentionMs = 1_000_000;
 const budget = 'b1';
 
-type Entry = {id: string; incarnation: string; state: FleetState; holder: GrantHolder; known: Set<string>};
-type Upstream = {id: string; incarnation: string; state: FleetState; book: ReceiptBook; old: Array<[string, ReceiptBook]>; fenced: Set<string>};
+type Entry = {id: string; incarnation: string; state: FleetState; holder: GrantHolder; knownGrants: Set<string>};
+type Upstream = {id: string; incarnation: string; state: FleetState; queue: ReceiptBook; previousQueues: Array<[string, ReceiptBook]>; fenced: Set<string>};
 type Options = {readonly hasBatchGuard?: boolean; readonly hasFence?: boolean};
 
-function createWorld({hasBatchGuard = true, hasFence = true}: Options = {}) {
+function createSimulation({hasBatchGuard = true, hasFence = true}: Options = {}) {
 	const log: LogEntry[] = [];
-	const full = createFleetState({window});
-	let serial = 0;
-	let real = 0;
+	const referenceState = createFleetState({window: retentionMs});
+	let lastId = 0;
+	let consumedTokens = 0;
 	let wasUpstreamEnded = false;
 	const join = (daemon: string, incarnation: string, role: 'entry' | 'upstream') => {
 		append({
@@ -28,22 +29,22 @@
 		});
 	};
 
-	function name(prefix: string): string {
-		serial += 1;
-		return `${prefix}${serial}`;
+	function generateId(prefix: string): string {
+		lastId += 1;
+		return `${prefix}${lastId}`;
 	}
 
 	function append(record: LogRecord): void {
 		const entry = {offset: log.length, at: log.length, data: structuredClone(record)};
 		log.push(entry);
-		full.fold(entry);
+		referenceState.fold(entry);
 	}
 
 	const entries = ['e0', 'e1'].map((id): Entry => ({
-		id, incarnation: name('i'), state: createFleetState({window}), holder: createGrantHolder(), known: new Set(),
+		id, incarnation: generateId('i'), state: createFleetState({window: retentionMs}), holder: createGrantHolder(), knownGrants: new Set(),
 	}));
 	const upstreams = ['u0', 'u1'].map((id): Upstream => ({
-		id, incarnation: name('i'), state: createFleetState({window}), book: createReceiptBook(), old: [], fenced: new Set(),
+		id, incarnation: generateId('i'), state: createFleetState({window: retentionMs}), queue: createReceiptBook(), previousQueues: [], fenced: new Set(),
 	}));
 	for (const entry of entries) {
 		join(entry.id, entry.incarnation, 'entry');
@@ -60,21 +61,21 @@
 	});
 	append({kind: 'confirm', plan: 'p0', by: 't'});
 
-	function fold(actor: {state: FleetState}, count: number): void {
-		for (const entry of log.slice(actor.state.next(), actor.state.next() + count)) {
+	function fold(actor: {state: FleetState}, recordCount: number): void {
+		for (const entry of log.slice(actor.state.next(), actor.state.next() + recordCount)) {
 			actor.state.fold(structuredClone(entry));
 		}
 	}
 
 	function syncGrants(entry: Entry): void {
 		if (!entry.state.placement.isCurrent(entry.id, entry.incarnation) && entry.state.placement.get(entry.id) === undefined && entry.state.next() > 4) {
-			entry.incarnation = name('i');
+			entry.incarnation = generateId('i');
 			join(entry.id, entry.incarnation, 'entry');
 		}
 
 		for (const grant of entry.state.ledger.listGrants()) {
-			if (grant.daemon === entry.id && grant.incarnation === entry.incarnation && !grant.waitsFor && !entry.known.has(grant.id)) {
-				entry.known.add(grant.id);
+			if (grant.daemon === entry.id && grant.incarnation === entry.incarnation && !grant.waitsFor && !entry.knownGrants.has(grant.id)) {
+				entry.knownGrants.add(grant.id);
 				entry.holder.add(grant.id, {budget, amount: grant.amount});
 			}
 		}
@@ -89,62 +90,62 @@
 
 	function syncUpstream(upstream: Upstream): void {
 		if (upstream.state.placement.get(upstream.id) === undefined && upstream.state.next() > 4) {
-			upstream.old.push([upstream.incarnation, upstream.book]);
-			upstream.incarnation = name('i');
-			upstream.book = createReceiptBook();
+			upstream.previousQueues.push([upstream.incarnation, upstream.queue]);
+			upstream.incarnation = generateId('i');
+			upstream.queue = createReceiptBook();
 			join(upstream.id, upstream.incarnation, 'upstream');
 		}
 	}
 
 	function isFenced(upstream: Upstream, shares: readonly GrantShare[], knownOffset: number): boolean {
 		return hasFence && shares.some(({grant}) => {
-			const known = upstream.state.ledger.findGrant(grant);
-			return upstream.fenced.has(grant) || Boolean(known?.waitsFor) || (!known && upstream.state.next() >= knownOffset);
+			const grantState = upstream.state.ledger.findGrant(grant);
+			return upstream.fenced.has(grant) || Boolean(grantState?.waitsFor) || (!grantState && upstream.state.next() >= knownOffset);
 		});
 	}
 
 	function flush(upstream: Upstream, copies: number): void {
-		for (const [incarnation, book] of [...upstream.old, [upstream.incarnation, upstream.book] as const]) {
-			for (let batch = book.peek(); batch; batch = book.peek()) {
+		for (const [incarnation, queue] of [...upstream.previousQueues, [upstream.incarnation, upstream.queue] as const]) {
+			for (let batch = queue.peek(); batch; batch = queue.peek()) {
 				for (let copy = 0; copy < copies; copy++) {
-					// Without the guard each copy has a number of its own, as a blind retry would.
+					// Without the guard, each copy has its own number, as if the append were retried as a new batch.
 					append({
 						kind: 'receipts', sequence: hasBatchGuard ? batch.sequence : batch.sequence + (copy * 1000), daemon: upstream.id, incarnation, receipts: [...batch.receipts],
 					});
 				}
 
-				book.confirm(batch.sequence);
+				queue.confirm(batch.sequence);
 			}
 		}
 	}
 
 	return {
-		log, full, entries, upstreams,
+		log, referenceState, entries, upstreams,
 		topUp(tokens: number): void {
-			const plan = name('p');
+			const plan = generateId('p');
 			append({
-				kind: 'plan', plan, basis: full.configuration.version(), by: 't', changes: [{change: 'top-up', budget, tokens}],
+				kind: 'plan', plan, basis: referenceState.configuration.version(), by: 't', changes: [{change: 'top-up', budget, tokens}],
 			});
 			append({kind: 'confirm', plan, by: 't'});
 		},
 		claim(index: number, amount: number): void {
 			const entry = entries[index]!;
 			append({
-				kind: 'claim', grant: formatGrant(name('g'), budget), budget, daemon: entry.id, incarnation: entry.incarnation, amount,
+				kind: 'claim', grant: formatGrant(generateId('g'), budget), budget, daemon: entry.id, incarnation: entry.incarnation, amount,
 			});
 		},
-		sync(index: number, count: number): void {
+		sync(index: number, recordCount: number): void {
 			const actor = [...entries, ...upstreams][index]!;
-			fold(actor, count);
+			fold(actor, recordCount);
 			if ('holder' in actor) {
 				syncGrants(actor);
 			} else {
 				syncUpstream(actor);
 			}
 		},
-		spend(index: number, at: number, options: {amount: number; cost: number; isHeard: boolean}): void {
+		spend(index: number, upstreamIndex: number, options: {amount: number; cost: number; isAnswerReceived: boolean}): void {
 			const entry = entries[index]!;
-			const upstream = upstreams[at]!;
+			const upstream = upstreams[upstreamIndex]!;
 			const reservation = entry.holder.reserve(budget, options.amount);
 			const isJoined = upstream.state.placement.isCurrent(upstream.id, upstream.incarnation);
 			if (!reservation || !isJoined || isFenced(upstream, reservation.shares, entry.state.next())) {
@@ -156,34 +157,34 @@
 			}
 
 			const billed = allocateShares(reservation.shares, Math.min(options.cost, options.amount));
-			real += billed.reduce((sum, share) => sum + share.amount, 0);
-			upstream.book.add({request: name('r'), attempt: 1, shares: billed});
-			// An answer that was not heard keeps its reservation.
-			if (options.isHeard) {
+			consumedTokens += billed.reduce((sum, share) => sum + share.amount, 0);
+			upstream.queue.add({request: generateId('r'), attempt: 1, shares: billed});
+			// If the answer is lost, its reservation is not settled.
+			if (options.isAnswerReceived) {
 				entry.holder.settle(reservation, billed);
 			}
 		},
-		flush(at: number, copies: number): void {
-			flush(upstreams[at]!, copies);
+		flush(upstreamIndex: number, copies: number): void {
+			flush(upstreams[upstreamIndex]!, copies);
 		},
-		report(at: number): void {
-			const upstream = upstreams[at]!;
-			const me = `${upstream.id}/${upstream.incarnation}`;
-			const due = [...upstream.state.ledger.listGrants()].filter(grant => grant.waitsFor?.includes(me)).map(grant => grant.id);
-			for (const grant of due) {
+		report(upstreamIndex: number): void {
+			const upstream = upstreams[upstreamIndex]!;
+			const incarnationId = `${upstream.id}/${upstream.incarnation}`;
+			const dueGrants = [...upstream.state.ledger.listGrants()].filter(grant => grant.waitsFor?.includes(incarnationId)).map(grant => grant.id);
+			for (const grant of dueGrants) {
 				upstream.fenced.add(grant);
 			}
 
 			flush(upstream, 1);
 			append({
-				kind: 'report', grants: due, daemon: upstream.id, incarnation: upstream.incarnation,
+				kind: 'report', grants: dueGrants, daemon: upstream.id, incarnation: upstream.incarnation,
 			});
 		},
 		release(index: number, amount: number): void {
 			const entry = entries[index]!;
 			for (const share of entry.holder.withdraw(budget, amount)) {
 				append({
-					kind: 'release', id: name('x'), grant: share.grant, amount: share.amount, final: false,
+					kind: 'release', id: generateId('x'), grant: share.grant, amount: share.amount, final: false,
 				});
 			}
 		},
@@ -200,159 +201,159 @@
 			}
 		},
 		check(): void {
-			const state = full.ledger.findBudget(budget);
-			const bought = state?.bought ?? 0;
-			expect(state?.billed ?? 0).toBeLessThanOrEqual(bought);
-			expect(full.ledger.computeRemaining(budget)).toBeGreaterThanOrEqual(0);
-			// Work of an ended upstream incarnation is burnt, not billed, so only without one the real cost is bounded too.
+			const budgetState = referenceState.ledger.findBudget(budget);
+			const bought = budgetState?.bought ?? 0;
+			expect(budgetState?.billed ?? 0).toBeLessThanOrEqual(bought);
+			expect(referenceState.ledger.computeRemaining(budget)).toBeGreaterThanOrEqual(0);
+			// Tokens of an ended upstream incarnation are burnt, not billed, so consumption is bounded only if none has ended.
 			if (!wasUpstreamEnded) {
-				expect(real).toBeLessThanOrEqual(bought);
+				expect(consumedTokens).toBeLessThanOrEqual(bought);
 			}
 		},
 	};
 }
 
-type World = ReturnType<typeof createWorld>;
-type Step = (world: World) => void;
+type Simulation = ReturnType<typeof createSimulation>;
+type Step = (simulation: Simulation) => void;
 
 const entryIndex = fc.nat(1);
 const stepArbitrary: fc.Arbitrary<Step> = fc.oneof(
 	{
-		arbitrary: fc.integer({min: 1, max: 500}).map((tokens): Step => world => {
-			world.topUp(tokens);
+		arbitrary: fc.integer({min: 1, max: 500}).map((tokens): Step => simulation => {
+			simulation.topUp(tokens);
 		}), weight: 2,
 	},
 	{
-		arbitrary: fc.tuple(entryIndex, fc.integer({min: 1, max: 400})).map(([index, amount]): Step => world => {
-			world.claim(index, amount);
+		arbitrary: fc.tuple(entryIndex, fc.integer({min: 1, max: 400})).map(([index, amount]): Step => simulation => {
+			simulation.claim(index, amount);
 		}), weight: 4,
 	},
 	{
-		arbitrary: fc.tuple(fc.nat(3), fc.oneof(fc.integer({min: 1, max: 20}), fc.constant(1000))).map(([index, count]): Step => world => {
-			world.sync(index, count);
+		arbitrary: fc.tuple(fc.nat(3), fc.oneof(fc.integer({min: 1, max: 20}), fc.constant(1000))).map(([index, count]): Step => simulation => {
+			simulation.sync(index, count);
 		}), weight: 14,
 	},
 	{
 		arbitrary: fc.tuple(entryIndex, fc.nat(1), fc.integer({min: 1, max: 200}), fc.integer({min: 0, max: 300}), fc.boolean())
-			.map(([index, at, amount, cost, isHeard]): Step => world => {
-				world.spend(index, at, {amount, cost, isHeard});
+			.map(([index, upstreamIndex, amount, cost, isAnswerReceived]): Step => simulation => {
+				simulation.spend(index, upstreamIndex, {amount, cost, isAnswerReceived});
 			}), weight: 12,
 	},
 	{
-		arbitrary: fc.tuple(fc.nat(1), fc.integer({min: 1, max: 2})).map(([at, copies]): Step => world => {
-			world.flush(at, copies);
+		arbitrary: fc.tuple(fc.nat(1), fc.integer({min: 1, max: 2})).map(([upstreamIndex, copies]): Step => simulation => {
+			simulation.flush(upstreamIndex, copies);
 		}), weight: 4,
 	},
 	{
-		arbitrary: fc.nat(1).map((at): Step => world => {
-			world.sync(at + 2, 1000);
-			world.report(at);
+		arbitrary: fc.nat(1).map((upstreamIndex): Step => simulation => {
+			simulation.sync(upstreamIndex + 2, 1000);
+			simulation.report(upstreamIndex);
 		}), weight: 6,
 	},
 	{
-		arbitrary: fc.tuple(entryIndex, fc.integer({min: 1, max: 200})).map(([index, amount]): Step => world => {
-			world.release(index, amount);
+		arbitrary: fc.tuple(entryIndex, fc.integer({min: 1, max: 200})).map(([index, amount]): Step => simulation => {
+			simulation.release(index, amount);
 		}), weight: 2,
 	},
 	{
-		arbitrary: fc.oneof(fc.nat(1), fc.nat(3)).map((index): Step => world => {
-			world.end(index);
+		arbitrary: fc.oneof(fc.nat(1), fc.nat(3)).map((index): Step => simulation => {
+			simulation.end(index);
 		}), weight: 2,
 	},
 	{
-		arbitrary: fc.nat(500).map((index): Step => world => {
-			world.repeat(index);
+		arbitrary: fc.nat(500).map((index): Step => simulation => {
+			simulation.repeat(index);
 		}), weight: 2,
 	},
 );
 const stepsArbitrary = fc.array(stepArbitrary, {minLength: 20, maxLength: 250, size: 'max'});
 const parameters = {seed: 20_261_202, numRuns: 500};
-// Without a guard the first failure suffices; shrinking it takes minutes.
+// For tests without a guard, any failure is enough; shrinking it would take minutes.
 const failingParameters = {...parameters, endOnFailure: true};
 
-// A snapshot travels as JSON, which drops undefined members; a clone would keep them.
-function passThroughJson(snapshot: FleetSnapshot): FleetSnapshot {
+// Snapshots are stored as JSON, which omits undefined members; structuredClone() would keep them.
+function roundTripJson(snapshot: FleetSnapshot): FleetSnapshot {
 	return JSON.parse(JSON.stringify(snapshot)) as FleetSnapshot; // eslint-disable-line unicorn/prefer-structured-clone
 }
 
-function play(steps: readonly Step[], options?: Options): void {
-	const world = createWorld(options);
-	world.topUp(300);
+function runSteps(steps: readonly Step[], options?: Options): void {
+	const simulation = createSimulation(options);
+	simulation.topUp(300);
 	for (const step of steps) {
-		step(world);
-		world.check();
+		step(simulation);
+		simulation.check();
 	}
 }
 
-test('createLedger() never overspends, whatever the order of records', () => {
+test('createLedger() never overspends for any order of records', () => {
 	fc.assert(fc.property(stepsArbitrary, steps => {
-		play(steps);
+		runSteps(steps);
 	}), parameters);
 });
 
-// A customer sees more answers than it bought: an upstream daemon appends its
-// receipts, the answer of the append is lost, it appends them again, and the
-// copies look like requests that ran twice, whose cost is given back.
-const repeatedBatch: Step[] = [
-	world => {
-		world.claim(0, 300);
+// Guards against overspending through a duplicate batch: an upstream daemon
+// appends its receipts, the answer to the append is lost, and the daemon appends
+// them again. The duplicates look like requests that ran twice and are refunded.
+const repeatedBatchSteps: Step[] = [
+	simulation => {
+		simulation.claim(0, 300);
 	},
-	...[0, 1, 2, 3].map((index): Step => world => {
-		world.sync(index, 1000);
+	...[0, 1, 2, 3].map((index): Step => simulation => {
+		simulation.sync(index, 1000);
 	}),
-	world => {
-		world.spend(0, 0, {amount: 200, cost: 200, isHeard: true});
+	simulation => {
+		simulation.spend(0, 0, {amount: 200, cost: 200, isAnswerReceived: true});
 	},
-	world => {
-		world.flush(0, 2);
+	simulation => {
+		simulation.flush(0, 2);
 	},
-	world => {
-		world.claim(1, 300);
+	simulation => {
+		simulation.claim(1, 300);
 	},
-	...[0, 1, 2, 3].map((index): Step => world => {
-		world.sync(index, 1000);
+	...[0, 1, 2, 3].map((index): Step => simulation => {
+		simulation.sync(index, 1000);
 	}),
-	world => {
-		world.spend(1, 0, {amount: 200, cost: 200, isHeard: true});
+	simulation => {
+		simulation.spend(1, 0, {amount: 200, cost: 200, isAnswerReceived: true});
 	},
 ];
 
 test('createLedger() folds a repeated batch of receipts once', () => {
-	play(repeatedBatch);
+	runSteps(repeatedBatchSteps);
 });
 
-test('createLedger() would overspend if batches of receipts had no number', () => {
+test('createLedger() would overspend if receipt batches were not numbered', () => {
 	expect(() => {
-		play(repeatedBatch, {hasBatchGuard: false});
+		runSteps(repeatedBatchSteps, {hasBatchGuard: false});
 	}).toThrow();
 });
 
 test('createLedger() would overspend if closed grants were not fenced', () => {
 	expect(() => {
 		fc.assert(fc.property(stepsArbitrary, steps => {
-			play(steps, {hasFence: false});
+			runSteps(steps, {hasFence: false});
 		}), failingParameters);
 	}).toThrow();
 });
 
-test('createFleetState() from a snapshot and the tail equals folding everything', () => {
-	fc.assert(fc.property(stepsArbitrary, fc.nat(), (steps, cut) => {
-		const world = createWorld();
+test('createFleetState() from a snapshot and the rest of the log equals folding the whole log', () => {
+	fc.assert(fc.property(stepsArbitrary, fc.nat(), (steps, snapshotSeed) => {
+		const simulation = createSimulation();
 		for (const step of steps) {
-			step(world);
+			step(simulation);
 		}
 
-		const before = createFleetState({window});
-		const at = cut % (world.log.length + 1);
-		for (const entry of world.log.slice(0, at)) {
-			before.fold(entry);
+		const snapshotState = createFleetState({window: retentionMs});
+		const snapshotOffset = snapshotSeed % (simulation.log.length + 1);
+		for (const entry of simulation.log.slice(0, snapshotOffset)) {
+			snapshotState.fold(entry);
 		}
 
-		const after = createFleetState({window, snapshot: passThroughJson(before.buildSnapshot())});
-		for (const entry of world.log.slice(at)) {
-			after.fold(entry);
+		const restoredState = createFleetState({window: retentionMs, snapshot: roundTripJson(snapshotState.buildSnapshot())});
+		for (const entry of simulation.log.slice(snapshotOffset)) {
+			restoredState.fold(entry);
 		}
 
-		expect(passThroughJson(after.buildSnapshot())).toEqual(passThroughJson(world.full.buildSnapshot()));
+		expect(roundTripJson(restoredState.buildSnapshot())).toEqual(roundTripJson(simulation.referenceState.buildSnapshot()));
 	}), parameters);
 });
--- a/src/state/token-account.ts
+++ b/src/state/token-account.ts
@@ -1,22 +1,22 @@
 /**
- * One gateway's tokens of each customer's budget: what it was granted, lent,
- * borrowed, reserved and spent.
+ * Token balances of one gateway for each customer's budget: tokens granted,
+ * borrowed, lent, reserved and spent.
  *
  * @module
  */
 
-/** Tokens put aside for one request. */
+/** Tokens reserved for one request. */
 export type TokenReservation = {
 	readonly customer: string;
-	/** The worst case of the request. */
+	/** The worst-case cost of the request. */
 	readonly amount: number;
-	/** True once it was settled; a second settlement does nothing. */
+	/** True after the first settlement; further settlements have no effect. */
 	isSettled: boolean;
 };
 
 type Balance = {granted: number; borrowed: number; lent: number; reserved: number; spent: number};
 
-/** One gateway's tokens. */
+/** Token balances of one gateway, by customer. */
 export type TokenAccount = ReturnType<typeof createTokenAccount>;
 
 /**
@@ -37,26 +37,26 @@
 	const balances = new Map<string, Balance>();
 
 	function ensureBalance(customer: string): Balance {
-		const known = balances.get(customer) ?? {
+		const balance = balances.get(customer) ?? {
 			granted: 0, borrowed: 0, lent: 0, reserved: 0, spent: 0,
 		};
-		balances.set(customer, known);
-		return known;
+		balances.set(customer, balance);
+		return balance;
 	}
 
-	function countFree(customer: string): number {
+	function countFreeTokens(customer: string): number {
 		const balance = balances.get(customer);
 		return balance ? balance.granted + balance.borrowed - balance.lent - balance.reserved - balance.spent : 0;
 	}
 
 	return {
-		countFree,
+		countFree: countFreeTokens,
 		listCustomers: (): string[] => [...balances.keys()],
 		get: (customer: string): Readonly<Balance> => ensureBalance(customer),
 
 		/**
-		 * Tokens of the own grant that cannot be given back: spent, reserved
-		 * or lent beyond what was borrowed.
+		 * Returns the tokens of the gateway's own grant that cannot be released:
+		 * those spent, reserved or lent in excess of the borrowed tokens.
 		 */
 		countBound(customer: string): number {
 			const {borrowed, lent, reserved, spent} = ensureBalance(customer);
@@ -71,16 +71,16 @@
 			ensureBalance(customer).borrowed += amount;
 		},
 
-		/** Takes free tokens out for a peer; returns how many. */
+		/** Lends up to `amount` free tokens to a peer and returns how many were lent. */
 		lend(customer: string, amount: number): number {
-			const lent = Math.max(0, Math.min(amount, countFree(customer)));
+			const lent = Math.max(0, Math.min(amount, countFreeTokens(customer)));
 			ensureBalance(customer).lent += lent;
 			return lent;
 		},
 
-		/** Puts tokens aside, or returns undefined when too few are free. */
+		/** Reserves tokens, or returns undefined if too few are free. */
 		reserve(customer: string, amount: number): TokenReservation | undefined {
-			if (countFree(customer) < amount) {
+			if (countFreeTokens(customer) < amount) {
 				return undefined;
 			}
 
@@ -88,7 +88,7 @@
 			return {customer, amount, isSettled: false};
 		},
 
-		/** Ends a reservation; what was not used becomes free again. */
+		/** Ends a reservation; tokens that were not used become free again. */
 		settle(reservation: TokenReservation, used: number): void {
 			if (reservation.isSettled) {
 				return;
--- a/src/state/traces.test.ts
+++ b/src/state/traces.test.ts
@@ -20,7 +20,7 @@
 });
 
 for (const file of readdirSync('traces').filter(name => name.endsWith('.json'))) {
-	test(`trace ${file} comes to its stated outcome`, () => {
+	test(`trace ${file} yields its expected outcome`, () => {
 		const trace = traceSchema.parse(JSON.parse(readFileSync(`traces/${file}`, 'utf8')));
 		const state = createFleetState({window: trace.window});
 		for (const [offset, data] of trace.records.entries()) {
--- a/src/state/upstream-directory.test.ts
+++ b/src/state/upstream-directory.test.ts
@@ -6,18 +6,18 @@
 	id: 'u1', service: 's', address: '127.0.0.1:1', failureDomain: 'd', slots: 4, isDraining: false, warmUp: 0,
 };
 
-test('an upstream that is leaving never comes back', () => {
-	// A caller's booking is cut off: an older record of the upstream is read
-	// after the newer one that says it is leaving, and it gets work again.
+test('a draining upstream does not become live again', () => {
+	// Guards against cut-off requests: an older registration, read after the one
+	// that announces the drain, must not give the upstream new requests.
 	const directory = createUpstreamDirectory();
 	directory.put({...entry, isDraining: true}, 0);
 	directory.put(entry, 1);
 	expect(directory.listLive('s', 2)).toEqual([]);
 });
 
-test('an entry that lapsed while the store was away keeps its upstream until the grace ends', () => {
-	// All callers are refused after the store was away: every upstream's entry
-	// lapsed meanwhile, and all come back a second later.
+test('an upstream whose registration expired while the store was unavailable stays live until the grace period ends', () => {
+	// Guards against refusing all callers after the store was unavailable: all
+	// registrations expire meanwhile and are renewed a second later.
 	const directory = createUpstreamDirectory();
 	directory.put(entry, 0);
 	directory.drop('u1', 2100);
@@ -27,16 +27,16 @@
 	expect(directory.listLive('s', 2300).length).toBe(1);
 });
 
-test('an entry that is taken out while the store is well is gone at once', () => {
+test('a registration dropped without a grace period is removed at once', () => {
 	const directory = createUpstreamDirectory();
 	directory.put(entry, 0);
 	directory.drop('u1');
 	expect(directory.listLive('s', 100)).toEqual([]);
 });
 
-test('an upstream whose grace has passed is forgotten', () => {
-	// The balancer keeps sending callers to a gateway that knows no upstream:
-	// all entries lapsed, none came back, and the gateway still counts them.
+test('prune() deletes an upstream whose grace period has ended', () => {
+	// Guards against a gateway that stays ready without any live upstream: all
+	// registrations expired, none was renewed, and the balancer keeps sending callers.
 	const directory = createUpstreamDirectory();
 	directory.put(entry, 0);
 	directory.drop('u1', 2100);
--- a/src/state/upstream-directory.ts
+++ b/src/state/upstream-directory.ts
@@ -1,21 +1,21 @@
 /**
- * The upstreams that registered themselves, folded from their records.
+ * Directory of registered upstreams, folded from their registrations.
  *
  * @module
  */
 import type {UpstreamEntry} from '../protocol/mod.js';
 
-type Entry = {upstream: UpstreamEntry; lapsesAt?: number; warmAt: number; hasMoved?: boolean};
+type Registration = {upstream: UpstreamEntry; graceEndsAt?: number; warmAt: number; isAddressReused?: boolean};
 
 /** An upstream that takes requests. */
 export type LiveUpstream = {
 	readonly upstream: UpstreamEntry;
 	readonly isWarm: boolean;
-	/** It is no longer listed and takes requests for a grace only. */
+	/** True if its registration was removed and it takes requests only until the grace period ends. */
 	readonly isOnGrace: boolean;
 };
 
-/** The upstreams that registered themselves. */
+/** Directory of registered upstreams. */
 export type UpstreamDirectory = ReturnType<typeof createUpstreamDirectory>;
 
 /**
@@ -31,74 +31,78 @@
  * @returns The directory
  */
 export function createUpstreamDirectory() {
-	const entries = new Map<string, Entry>();
+	const registrations = new Map<string, Registration>();
 
-	function isLive(entry: Entry, now: number): boolean {
-		return !entry.upstream.isDraining && !entry.hasMoved && (entry.lapsesAt === undefined || now < entry.lapsesAt);
+	function isLive(registration: Registration, now: number): boolean {
+		return !registration.upstream.isDraining && !registration.isAddressReused && (registration.graceEndsAt === undefined || now < registration.graceEndsAt);
 	}
 
 	return {
 		put(upstream: UpstreamEntry, now: number): void {
-			const known = entries.get(upstream.id);
-			// An upstream that is leaving never takes work again; an older record read late must not bring it back.
-			const isDraining = upstream.isDraining || known?.upstream.isDraining === true;
-			entries.set(upstream.id, {upstream: {...upstream, isDraining}, warmAt: now + upstream.warmUp});
+			const previous = registrations.get(upstream.id);
+			// Draining is final: an older registration that is read late must not make the upstream live again.
+			const isDraining = upstream.isDraining || previous?.upstream.isDraining === true;
+			registrations.set(upstream.id, {upstream: {...upstream, isDraining}, warmAt: now + upstream.warmUp});
 		},
 
-		/** Takes an entry out, at once or on a grace that ends at `graceEnd`: it may have lapsed, and its upstream live. */
-		drop(id: string, graceEnd?: number): void {
-			const known = entries.get(id);
-			if (known && graceEnd !== undefined) {
-				known.lapsesAt ??= graceEnd;
+		/**
+		 * Removes a registration, at once or at `graceEndsAt`. The grace period is
+		 * for a registration that may have expired while its upstream was alive.
+		 */
+		drop(id: string, graceEndsAt?: number): void {
+			const registration = registrations.get(id);
+			if (registration && graceEndsAt !== undefined) {
+				registration.graceEndsAt ??= graceEndsAt;
 			} else {
-				entries.delete(id);
+				registrations.delete(id);
 			}
 		},
 
 		/**
-		 * Notes that another upstream answers at the address of this one, which
-		 * takes no requests until it registers itself again.
+		 * Records that another upstream answers at the address of this one. The
+		 * upstream gets no requests until it registers again.
 		 *
-		 * After all engines of a service lost power their entries stand for three
-		 * heartbeats, and rendezvous hashing sends each request of a prompt to the
-		 * same dead entry, where it is refused.
+		 * After all engines of a service lose power, their old registrations remain
+		 * for three heartbeats. Without this mark, rendezvous hashing would send
+		 * every request with the same prompt to the same stale registration, where
+		 * it is refused.
 		 */
 		markMoved(id: string): void {
-			const known = entries.get(id);
-			if (known) {
-				known.hasMoved = true;
+			const registration = registrations.get(id);
+			if (registration) {
+				registration.isAddressReused = true;
 			}
 		},
 
-		get: (id: string): UpstreamEntry | undefined => entries.get(id)?.upstream,
-		/** True for an upstream that may still get requests. */
+		get: (id: string): UpstreamEntry | undefined => registrations.get(id)?.upstream,
+		/** Returns true if an upstream may get requests. */
 		isLive(id: string, now: number): boolean {
-			const entry = entries.get(id);
-			return entry !== undefined && isLive(entry, now);
+			const registration = registrations.get(id);
+			return registration !== undefined && isLive(registration, now);
 		},
 
-		/** The upstreams of a service that take requests. */
+		/** Returns the upstreams of a service that may get requests. */
 		listLive(service: string, now: number): LiveUpstream[] {
-			return [...entries.values()]
-				.filter(entry => entry.upstream.service === service && isLive(entry, now))
-				.map(entry => ({upstream: entry.upstream, isWarm: now >= entry.warmAt, isOnGrace: entry.lapsesAt !== undefined}));
+			return [...registrations.values()]
+				.filter(registration => registration.upstream.service === service && isLive(registration, now))
+				.map(registration => ({upstream: registration.upstream, isWarm: now >= registration.warmAt, isOnGrace: registration.graceEndsAt !== undefined}));
 		},
 
-		/** Whole milliseconds for which an upstream that is no longer listed still takes requests. */
+		/** Returns the rest of an upstream's grace period in whole milliseconds; 0 outside a grace period. */
 		countGrace(id: string, now: number): number {
-			const entry = entries.get(id);
-			return entry?.lapsesAt !== undefined && isLive(entry, now) ? Math.round(entry.lapsesAt - now) : 0;
+			const registration = registrations.get(id);
+			return registration?.graceEndsAt !== undefined && isLive(registration, now) ? Math.round(registration.graceEndsAt - now) : 0;
 		},
 
-		listIds: (): string[] => [...entries.keys()],
-		/** True if any upstream takes requests. */
-		hasLive: (now: number): boolean => [...entries.values()].some(entry => isLive(entry, now)),
+		listIds: (): string[] => [...registrations.keys()],
+		/** Returns true if any upstream may get requests. */
+		hasLive: (now: number): boolean => [...registrations.values()].some(registration => isLive(registration, now)),
 
-		/** Forgets entries whose grace has passed: their upstreams left, or will register themselves anew. */
+		/** Deletes registrations whose grace period has ended: their upstreams have left or will register again. */
 		prune(now: number): void {
-			for (const [id, {lapsesAt}] of entries) {
-				if (lapsesAt !== undefined && now >= lapsesAt) {
-					entries.delete(id);
+			for (const [id, {graceEndsAt}] of registrations) {
+				if (graceEndsAt !== undefined && now >= graceEndsAt) {
+					registrations.delete(id);
 				}
 			}
 		},
