--- a/src/coordination/enrolment.ts
+++ b/src/coordination/enrolment.ts
@@ -1,6 +1,6 @@
 /**
- * Puts this daemon's incarnation on the log, and again under a new name when
- * peers have ended it.
+ * Records the join of this daemon's incarnation in the log, and joins again as a
+ * new incarnation after peers have ended the previous one.
  *
  * @module
  */
@@ -18,18 +18,18 @@
 	readonly writer: LogWriter;
 	readonly clock: Clock;
 	readonly events: EventLog;
-	/** Called when another process has taken this daemon's name. */
+	/** Called when another process has joined under this daemon's id. */
 	readonly onSuperseded: () => void;
 };
 
-/** Puts a daemon on the log. */
+/** Joins a daemon to the fleet through the log. */
 export type Enrolment = ReturnType<typeof createEnrolment>;
 
-const roundPause = 300;
-const appendBound = 10_000;
+const checkIntervalMs = 300;
+const commitTimeoutMs = 10_000;
 
 /**
- * Creates the enrolment; `run` is its task.
+ * Creates the enrolment of a daemon; `run` keeps the daemon joined until its signal is aborted.
  *
  * @example
  * ```ts
@@ -43,7 +43,7 @@
 	const {
 		self, follower, writer, clock, events,
 	} = options;
-	let wasJoined = false;
+	let hasJoinedBefore = false;
 
 	function isJoined(): boolean {
 		return follower.state().placement.isCurrent(self.id, self.incarnation);
@@ -53,26 +53,26 @@
 		const {incarnation} = self;
 		await writer.commit({
 			kind: 'join', daemon: self.id, incarnation, role: self.role, ...options.join,
-		}, {isFolded: () => isJoined(), signal: AbortSignal.timeout(appendBound)});
+		}, {isFolded: () => isJoined(), signal: AbortSignal.timeout(commitTimeoutMs)});
 		if (isJoined()) {
-			wasJoined = true;
+			hasJoinedBefore = true;
 			events.write('joined', {incarnation});
 		}
 	}
 
-	async function runRound(): Promise<void> {
+	async function ensureJoined(): Promise<void> {
 		if (isJoined() || !follower.isLogUp() || self.isLeaving) {
 			return;
 		}
 
-		if (wasJoined && follower.state().placement.get(self.id) !== undefined) {
+		if (hasJoinedBefore && follower.state().placement.get(self.id) !== undefined) {
 			events.write('superseded', {incarnation: self.incarnation});
 			options.onSuperseded();
 			return;
 		}
 
-		// Peers ended this incarnation: what it accepted is settled without it, so it goes on under a new name.
-		if (wasJoined) {
+		// Peers have ended this incarnation and settle what it accepted, so the daemon continues as a new incarnation.
+		if (hasJoinedBefore) {
 			self.incarnation = createId('i');
 		}
 
@@ -83,17 +83,17 @@
 		isJoined,
 		async run(signal: AbortSignal): Promise<void> {
 			while (!signal.aborted) {
-				await runRound();
-				await clock.sleep(roundPause, signal);
+				await ensureJoined();
+				await clock.sleep(checkIntervalMs, signal);
 			}
 		},
 
-		/** Takes this daemon off the log, after everything it owes is there. */
+		/** Records in the log that this daemon leaves; call it after everything that the daemon has to record is in the log. */
 		async leave(): Promise<void> {
 			const {incarnation} = self;
 			await writer.commit({
 				kind: 'leave', daemon: self.id, incarnation, graceful: true, by: self.id,
-			}, {isFolded: () => !isJoined(), signal: AbortSignal.timeout(appendBound)});
+			}, {isFolded: () => !isJoined(), signal: AbortSignal.timeout(commitTimeoutMs)});
 		},
 	};
 }
--- a/src/coordination/intents.ts
+++ b/src/coordination/intents.ts
@@ -1,8 +1,10 @@
 /**
- * Intents: an operator states what is wanted, gets a plan, and confirms it.
+ * Intents: an operator states the changes that are wanted, gets a plan, and
+ * confirms it.
  *
- * Plans and confirmations are records of the log, so any entry can answer for
- * any plan, and of two racing confirmations the log's order takes one.
+ * Plans and confirmations are records of the log. Any entry daemon can
+ * therefore serve any plan, and the order of the log decides between concurrent
+ * confirmations.
  *
  * @module
  */
@@ -13,7 +15,7 @@
 import type {LogFollower} from './log-follower.js';
 import type {LogWriter} from './log-writer.js';
 
-/** One line of a plan: what is there and what would be. */
+/** A line of a plan: an object before and after the change. */
 export type PlanDifference = {
 	readonly what: string;
 	readonly before?: unknown;
@@ -21,31 +23,31 @@
 	readonly effect: string;
 };
 
-/** A plan as an operator sees it. */
+/** A plan as it is shown to operators. */
 export type PlanView = {
 	readonly plan: string;
 	readonly state: Plan['state'];
-	/** The version it rests on. */
+	/** Configuration version on which the plan is based. */
 	readonly basis: number;
-	/** The version it made. */
+	/** Configuration version that the plan created once it was accepted. */
 	readonly version?: number;
 	readonly reason?: string;
 	readonly differences: readonly PlanDifference[];
 };
 
 /** Options of {@linkcode createIntents}. */
-export type CreateIntentsOptions = {
+export type CreateIntentManagerOptions = {
 	readonly follower: LogFollower;
 	readonly writer: LogWriter;
 	readonly events: EventLog;
-	/** Longest wait for the log, in milliseconds; default 10000. */
-	readonly bound?: number;
+	/** How long to wait until a record is committed to the log, in milliseconds; default 10000. */
+	readonly commitTimeoutMs?: number;
 };
 
-/** Plans and confirms intents. */
+/** Manages intents: plans and confirms them. */
 export type Intents = ReturnType<typeof createIntents>;
 
-const defaultBound = 10_000;
+const defaultCommitTimeoutMs = 10_000;
 
 /** @internal */
 function describeChange(change: Change, configuration: Configuration): PlanDifference {
@@ -104,21 +106,21 @@
 }
 
 /**
- * Creates the intents of an entry daemon.
+ * Creates the intent manager of an entry daemon.
  *
  * @example
  * ```ts
  * const planned = await intents.plan({changes: [{change: 'top-up', budget: 'b1', tokens: 1000}]}, 'ana');
  * ```
  *
- * @param options The log
- * @returns The intents
+ * @param options The follower and the writer of the log
+ * @returns The intent manager
  */
-export function createIntents(options: CreateIntentsOptions) {
+export function createIntents(options: CreateIntentManagerOptions) {
 	const {follower, writer, events} = options;
-	const bound = options.bound ?? defaultBound;
+	const commitTimeoutMs = options.commitTimeoutMs ?? defaultCommitTimeoutMs;
 
-	function view(plan: Readonly<Plan>): PlanView {
+	function buildView(plan: Readonly<Plan>): PlanView {
 		const {configuration} = follower.state();
 		return {
 			plan: plan.id, state: plan.state, basis: plan.basis, version: plan.version, reason: plan.reason,
@@ -128,10 +130,10 @@
 
 	function findView(id: string): Result<PlanView, Failure> {
 		const plan = follower.state().configuration.findPlan(id);
-		return plan ? Ok(view(plan)) : Err(createFailure('unknown-object', `There is no plan "${id}"`));
+		return plan ? Ok(buildView(plan)) : Err(createFailure('unknown-object', `There is no plan "${id}"`));
 	}
 
-	function judge(plan: PlanView): Result<PlanView, Failure> {
+	function checkState(plan: PlanView): Result<PlanView, Failure> {
 		if (plan.state === 'stale') {
 			events.write('planRefused', {plan: plan.plan, reason: 'stale'});
 			return Err(createFailure('plan-stale', `Plan "${plan.plan}" is stale: ${plan.reason ?? ''}`));
@@ -147,9 +149,9 @@
 
 	return {
 		findPlan: findView,
-		list: (): PlanView[] => [...follower.state().configuration.listPlans()].map(plan => view(plan)),
+		list: (): PlanView[] => [...follower.state().configuration.listPlans()].map(plan => buildView(plan)),
 
-		/** Makes a plan; changes nothing. */
+		/** Records a plan for an intent; the configuration does not change until the plan is confirmed. */
 		async plan(intent: Intent, by: string): Promise<Result<PlanView, Failure>> {
 			const {configuration} = follower.state();
 			const refusals = configuration.listRefusals(intent.changes);
@@ -160,9 +162,9 @@
 			const plan = createId('p');
 			const committed = await writer.commit({
 				kind: 'plan', plan, basis: configuration.version(), by, changes: intent.changes,
-			}, {isFolded: state => state.configuration.findPlan(plan) !== undefined, signal: AbortSignal.timeout(bound)});
+			}, {isFolded: state => state.configuration.findPlan(plan) !== undefined, signal: AbortSignal.timeout(commitTimeoutMs)});
 			if (committed.err) {
-				// Nothing is in force without a confirmation, whatever became of the append.
+				// A plan has no effect until it is confirmed, so it does not matter whether the append took effect.
 				return Err(createFailure('log-unavailable', committed.val.detail, {retryAfterMs: committed.val.retryAfterMs}));
 			}
 
@@ -170,19 +172,19 @@
 			return findView(plan);
 		},
 
-		/** Confirms a plan; says "accepted" only after the confirmation was read back. */
+		/** Confirms a plan; returns it as "accepted" only after the confirmation has been read back. */
 		async confirm(id: string, by: string): Promise<Result<PlanView, Failure>> {
 			const known = findView(id);
 			if (known.err || known.val.state !== 'open') {
-				return known.err ? known : judge(known.val);
+				return known.err ? known : checkState(known.val);
 			}
 
 			const committed = await writer.commit({kind: 'confirm', plan: id, by}, {
 				isFolded: state => (state.configuration.findPlan(id)?.state ?? 'open') !== 'open',
-				signal: AbortSignal.timeout(bound),
+				signal: AbortSignal.timeout(commitTimeoutMs),
 			});
 			if (committed.err) {
-				const detail = `Whether plan "${id}" was confirmed is not known; ask for its status and confirm again, which has no second effect`;
+				const detail = `The outcome of confirming plan "${id}" is unknown; query its status or confirm it again, which has no further effect`;
 				return Err(createFailure('log-unavailable', detail, {ran: 'unknown', retryAfterMs: 2000}));
 			}
 
@@ -191,7 +193,7 @@
 				events.write('planAccepted', {plan: id, version: outcome.val.version, by});
 			}
 
-			return outcome.err ? outcome : judge(outcome.val);
+			return outcome.err ? outcome : checkState(outcome.val);
 		},
 	};
 }
--- a/src/coordination/keyed-follower.ts
+++ b/src/coordination/keyed-follower.ts
@@ -1,5 +1,5 @@
 /**
- * Follows a keyed log and hands on its records in order.
+ * Follows a keyed log and delivers its records in order of offset.
  *
  * @module
  */
@@ -8,14 +8,14 @@
 } from '../protocol/mod.js';
 import {waitAtMost, type Clock} from '../transport/mod.js';
 
-/** A span in which the log did not answer, in milliseconds of the steady clock. */
-export type Absence = {
-	/** When the last read before it that was answered was sent. */
-	readonly from: number;
-	/** When the last read that failed was sent: the log was still away then. */
-	readonly until: number;
-	/** When a read was answered again. */
-	readonly answeredAt: number;
+/** A period in which the log did not answer; times are in milliseconds of the monotonic clock. */
+export type LogOutage = {
+	/** When the last successful read before the outage was sent. */
+	readonly lastSuccessAt: number;
+	/** When the last failed read was sent; the log was still unavailable then. */
+	readonly lastFailureAt: number;
+	/** When the first successful read after the outage was answered. */
+	readonly recoveredAt: number;
 };
 
 /** Options of {@linkcode createKeyedFollower}. */
@@ -23,31 +23,35 @@
 	readonly log: KeyedLog;
 	readonly clock: Clock;
 	readonly events: EventLog;
-	/** Milliseconds that a read may wait for a new record; 0 asks and comes back. */
+	/** How long a read may wait for a new record, in milliseconds; 0 returns immediately. */
 	readonly wait: number;
-	/** Pause between reads, in milliseconds. */
+	/** Pause after a successful read, in milliseconds. */
 	readonly every: number;
-	/** A read that is not answered this long after its wait, in milliseconds, counts as failed and another is sent beside it; default never. */
+	/**
+	 * Milliseconds that a read may take beyond its wait for a new record. After
+	 * that it counts as failed, and another read is sent while it stays pending;
+	 * by default reads do not time out.
+	 */
 	readonly patience?: number;
-	/** Takes a record; called once for each, in order of offset. */
+	/** Called once for each record, in order of offset. */
 	readonly onRecord: (record: StoredRecord) => void;
-	/** Names the keys known, so that those missing after a gap count as dropped. */
+	/** Lists the known keys; those that are missing after a gap are reported as dropped. */
 	readonly listKeys?: () => string[];
-	/** Called when the log answers again, before records are handed on. */
-	readonly onReturn?: (absence: Absence) => void;
+	/** Called when the log answers again, before its records are delivered. */
+	readonly onReturn?: (outage: LogOutage) => void;
 };
 
-/** What became of a read within its time. */
+/** Outcome of a read when it ends or times out; a hanging read is still pending. */
 type ReadResult = 'answered' | 'failed' | 'hanging';
 
 /** Follows a keyed log. */
 export type KeyedFollower = ReturnType<typeof createKeyedFollower>;
 
-/** Pause after a failed read, in milliseconds: a store that is back is noticed in a fraction of a second. */
-const retryPause = 200;
+/** Kept short so that a recovered store is noticed within a fraction of a second. */
+const retryDelayMs = 200;
 
 /**
- * Creates a follower; `run` is its task.
+ * Creates a follower of a keyed log; `run` reads until its signal is aborted.
  *
  * @example
  * ```ts
@@ -55,58 +59,58 @@
  * void follower.run(signal);
  * ```
  *
- * @param options The log and what takes its records
+ * @param options The log and the callbacks that receive its records
  * @returns The follower
  */
 export function createKeyedFollower(options: CreateKeyedFollowerOptions) {
 	const {log, clock, events, onRecord} = options;
-	let next: number | undefined;
+	let nextOffset: number | undefined;
 	let isUp = false;
-	let failedAt: number | undefined;
-	let answeredAt: number | undefined;
-	let reading: Promise<boolean> | undefined;
-	// A read that hangs was waited for long enough.
-	const pauses: Record<ReadResult, number> = {answered: options.every, failed: retryPause, hanging: 0};
+	let lastFailureAt: number | undefined;
+	let lastSuccessAt: number | undefined;
+	let pendingCatchUp: Promise<boolean> | undefined;
+	// A hanging read has already used up its timeout, so the next one is sent at once.
+	const pausesMs: Record<ReadResult, number> = {answered: options.every, failed: retryDelayMs, hanging: 0};
 
-	function noteReturn(): void {
+	function reportRecovery(): void {
 		const now = clock.now();
-		events.write('logBack', {log: log.name, next, awayMs: answeredAt === undefined ? undefined : Math.round(now - answeredAt)});
-		if (answeredAt !== undefined && failedAt !== undefined) {
-			options.onReturn?.({from: answeredAt, until: failedAt, answeredAt: now});
+		events.write('logBack', {log: log.name, next: nextOffset, awayMs: lastSuccessAt === undefined ? undefined : Math.round(now - lastSuccessAt)});
+		if (lastSuccessAt !== undefined && lastFailureAt !== undefined) {
+			options.onReturn?.({lastSuccessAt, lastFailureAt, recoveredAt: now});
 		}
 	}
 
-	// Called before an answer's records are handed on, so that their taker knows of the absence.
-	function noteAnswer(): void {
+	// Called before the records of an answer are delivered, so that the outage is reported first.
+	function markAvailable(): void {
 		if (!isUp) {
-			noteReturn();
+			reportRecovery();
 		}
 
 		isUp = true;
 	}
 
-	// Called after them: what they bring was unknown until now.
-	function noteFolded(askedAt: number): void {
-		answeredAt = Math.max(answeredAt ?? askedAt, askedAt);
+	// Called after the records are delivered: the view is only as recent as the records already processed.
+	function recordSuccess(sentAt: number): void {
+		lastSuccessAt = Math.max(lastSuccessAt ?? sentAt, sentAt);
 	}
 
-	// Of reads that overlap, one that was sent before the last answered one says nothing new by its failure.
-	function noteFailure(askedAt: number, failure: Failure): void {
-		if (answeredAt !== undefined && askedAt < answeredAt) {
+	// Ignores the failure of a read that was sent before the last successful one; reads can overlap.
+	function recordFailure(sentAt: number, failure: Failure): void {
+		if (lastSuccessAt !== undefined && sentAt < lastSuccessAt) {
 			return;
 		}
 
 		if (isUp) {
 			events.write('logLost', {
-				log: log.name, next, ms: Math.round(clock.now() - askedAt), detail: failure.detail,
+				log: log.name, next: nextOffset, ms: Math.round(clock.now() - sentAt), detail: failure.detail,
 			});
 		}
 
 		isUp = false;
-		failedAt = Math.max(failedAt ?? askedAt, askedAt);
+		lastFailureAt = Math.max(lastFailureAt ?? sentAt, sentAt);
 	}
 
-	function fold(records: readonly StoredRecord[], from: number): void {
+	function deliverRecords(records: readonly StoredRecord[], from: number): void {
 		for (const record of records) {
 			if (record.offset >= from) {
 				onRecord(record);
@@ -115,44 +119,44 @@
 	}
 
 	async function readNewest(): Promise<boolean> {
-		const askedAt = clock.now();
+		const sentAt = clock.now();
 		const newest = await log.readNewest();
 		if (newest.err) {
-			noteFailure(askedAt, newest.val);
+			recordFailure(sentAt, newest.val);
 			return false;
 		}
 
-		noteAnswer();
+		markAvailable();
 		const {records, end} = newest.val;
-		// An answer that was overtaken by a newer one lacks keys that are there by now.
-		if (end < (next ?? 0)) {
+		// Ignores an answer older than what has been delivered: keys added since then would look dropped.
+		if (end < (nextOffset ?? 0)) {
 			return true;
 		}
 
-		const missing = new Set(options.listKeys?.());
+		const missingKeys = new Set(options.listKeys?.());
 		for (const record of records) {
-			missing.delete(record.key);
+			missingKeys.delete(record.key);
 		}
 
-		fold(records.toSorted((left, right) => left.offset - right.offset), next ?? 0);
-		for (const key of missing) {
+		deliverRecords(records.toSorted((left, right) => left.offset - right.offset), nextOffset ?? 0);
+		for (const key of missingKeys) {
 			onRecord({key, offset: end});
 		}
 
-		next = Math.max(next ?? 0, end);
-		noteFolded(askedAt);
+		nextOffset = Math.max(nextOffset ?? 0, end);
+		recordSuccess(sentAt);
 		return true;
 	}
 
-	async function readOn(from: number, wait: number, signal: AbortSignal): Promise<boolean> {
-		const askedAt = clock.now();
-		const page = await log.read(from, {wait, signal});
+	async function readFrom(from: number, longPollMs: number, signal: AbortSignal): Promise<boolean> {
+		const sentAt = clock.now();
+		const page = await log.read(from, {wait: longPollMs, signal});
 		if (page.ok) {
-			noteAnswer();
-			// A read that waited may end after another one has folded the same records.
-			fold(page.val.records, next ?? from);
-			next = Math.max(next ?? 0, (page.val.records.at(-1)?.offset ?? from - 1) + 1);
-			noteFolded(askedAt);
+			markAvailable();
+			// An overlapping read may already have delivered the same records.
+			deliverRecords(page.val.records, nextOffset ?? from);
+			nextOffset = Math.max(nextOffset ?? 0, (page.val.records.at(-1)?.offset ?? from - 1) + 1);
+			recordSuccess(sentAt);
 			return true;
 		}
 
@@ -161,68 +165,71 @@
 		}
 
 		if (!signal.aborted) {
-			noteFailure(askedAt, page.val.failure);
+			recordFailure(sentAt, page.val.failure);
 		}
 
 		return false;
 	}
 
-	async function readNext(wait: number, signal: AbortSignal): Promise<boolean> {
-		return next === undefined ? readNewest() : readOn(next, wait, signal);
+	async function readNext(longPollMs: number, signal: AbortSignal): Promise<boolean> {
+		return nextOffset === undefined ? readNewest() : readFrom(nextOffset, longPollMs, signal);
 	}
 
-	// Guards against a read that hangs for seconds, on a way that fell silent, while new ones are answered: requests would
-	// go by what was known before it, and a log that is back would be taken for away. The read itself goes on, since its
-	// answer may still come first.
-	async function readPatiently(signal: AbortSignal): Promise<ReadResult> {
-		const askedAt = clock.now();
+	// A read on an unresponsive connection can hang for seconds while new reads would be answered. Without a timeout,
+	// requests would be handled on a stale view, and a log that has recovered would still count as unavailable. The
+	// hanging read is not cancelled, since its answer may still arrive first.
+	async function readWithTimeout(signal: AbortSignal): Promise<ReadResult> {
+		const sentAt = clock.now();
 		const pending = readNext(options.wait, signal);
 		if (options.patience === undefined) {
 			return await pending ? 'answered' : 'failed';
 		}
 
-		const span = options.wait + options.patience;
-		const isRead = await waitAtMost(pending, {clock, span});
-		if (isRead === undefined && !signal.aborted) {
-			noteFailure(askedAt, createFailure('log-unavailable', `A read was not answered within ${span} ms`));
+		const timeoutMs = options.wait + options.patience;
+		const isAnswered = await waitAtMost(pending, {clock, span: timeoutMs});
+		if (isAnswered === undefined && !signal.aborted) {
+			recordFailure(sentAt, createFailure('log-unavailable', `A read was not answered within ${timeoutMs} ms`));
 			return 'hanging';
 		}
 
-		return isRead ? 'answered' : 'failed';
+		return isAnswered ? 'answered' : 'failed';
 	}
 
 	return {
-		/** Offset of the next record wanted; undefined before the first read. */
-		next: () => next,
+		/** Returns the offset of the next record to deliver; undefined before the first successful read. */
+		next: () => nextOffset,
 		isUp: () => isUp,
-		/** Whole milliseconds since the last answered read was sent: what is newer may be unknown. Undefined before the first. */
-		countSinceAnswer: (): number | undefined => answeredAt === undefined ? undefined : Math.round(clock.now() - answeredAt),
+		/**
+		 * Returns the whole milliseconds since the last successful read was sent;
+		 * later records may be missing. Undefined before the first.
+		 */
+		countSinceAnswer: (): number | undefined => lastSuccessAt === undefined ? undefined : Math.round(clock.now() - lastSuccessAt),
 
-		/** Reads what is new without waiting for more; false when the log does not answer. Calls at once share a read. */
+		/** Reads new records without waiting for more; false if the log does not answer. Concurrent calls share one read. */
 		async catchUp(signal: AbortSignal): Promise<boolean> {
-			reading ??= (async () => {
+			pendingCatchUp ??= (async () => {
 				try {
 					return await readNext(0, signal);
 				} finally {
-					reading = undefined;
+					pendingCatchUp = undefined;
 				}
 			})();
-			return reading;
+			return pendingCatchUp;
 		},
 
-		/** Takes over an own record that the log has just put at the next offset. */
+		/** Delivers a record that this process has just appended, if the log put it at the next offset. */
 		takeOwn(record: StoredRecord): void {
-			if (record.offset === next) {
+			if (record.offset === nextOffset) {
 				onRecord(record);
-				next += 1;
+				nextOffset += 1;
 			}
 		},
 
 		async run(signal: AbortSignal): Promise<void> {
 			while (!signal.aborted) {
-				const pause = pauses[await readPatiently(signal)];
-				if (pause > 0) {
-					await clock.sleep(pause, signal);
+				const pauseMs = pausesMs[await readWithTimeout(signal)];
+				if (pauseMs > 0) {
+					await clock.sleep(pauseMs, signal);
 				}
 			}
 		},
--- a/src/coordination/log-follower.ts
+++ b/src/coordination/log-follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the platform's log and folds it, from the log itself or, when cut
- * off from it, from peers.
+ * Follows the platform's log and folds its records into the fleet state; while
+ * the log is unreachable, records come from peers.
  *
  * @module
  */
@@ -11,14 +11,14 @@
 import {createFleetState, type FleetSnapshot, type FleetState} from '../state/mod.js';
 import type {Clock, LogClient} from '../transport/mod.js';
 
-/** Records handed on by a peer. */
+/** Records relayed by a peer. */
 export type RelayedRecords = {
 	readonly entries: readonly LogEntry[];
-	/** A snapshot to start from when the peer no longer keeps the records. */
+	/** Snapshot to start from if the peer no longer keeps the requested records. */
 	readonly snapshot?: FleetSnapshot;
 };
 
-/** Asks peers for records from an offset on; undefined when none has newer ones. */
+/** Fetches records from an offset on from peers; undefined if no peer has newer ones. */
 export type FetchFromPeers = (from: number) => Promise<RelayedRecords | undefined>;
 
 /** Options of {@linkcode createLogFollower}. */
@@ -26,7 +26,7 @@
 	readonly log: LogClient;
 	readonly clock: Clock;
 	readonly events: EventLog;
-	/** How long receipts and runs stay known, in milliseconds. */
+	/** How long receipts and runs are kept in the state, in milliseconds. */
 	readonly window: number;
 	readonly fetchFromPeers: FetchFromPeers;
 	/** How long a read may wait for a new record, in milliseconds; default 2000. */
@@ -34,23 +34,23 @@
 };
 
 type FollowerEvents = {
-	/** One record was folded. */
+	/** A record was folded into the state. */
 	folded: LogEntry & {data: LogRecord};
-	/** The state was replaced by a snapshot. */
+	/** The state was replaced by that of a snapshot. */
 	replaced: undefined;
 	/** A read from the log succeeded. */
 	caughtUp: undefined;
 };
 
-/** Follows the log. */
+/** Follows the log and holds the folded state. */
 export type LogFollower = ReturnType<typeof createLogFollower>;
 
-const defaultLongPoll = 2000;
-const retryPause = 200;
-const recentLimit = 5000;
+const defaultLongPollMs = 2000;
+const retryDelayMs = 200;
+const maxRecentEntries = 5000;
 
 /**
- * Creates a follower; `run` is its task.
+ * Creates a follower of the platform's log; `run` reads until its signal is aborted.
  *
  * @example
  * ```ts
@@ -59,22 +59,22 @@
  * await follower.waitUntilReady(signal);
  * ```
  *
- * @param options The log, the clock and the way to peers
+ * @param options The log, the clock and the function that fetches records from peers
  * @returns The follower
  */
 export function createLogFollower(options: CreateLogFollowerOptions) {
 	const {log, clock, events, window} = options;
-	const longPoll = options.longPoll ?? defaultLongPoll;
+	const longPollMs = options.longPoll ?? defaultLongPollMs;
 	const emitter = new Emittery<FollowerEvents>();
 	let state: FleetState = createFleetState({window});
-	const recent: LogEntry[] = [];
+	const recentEntries: LogEntry[] = [];
 	let isReady = false;
 	let isLogUp = false;
 
-	function keepRecent(entry: LogEntry): void {
-		recent.push(entry);
-		if (recent.length > recentLimit * 2) {
-			recent.splice(0, recent.length - recentLimit);
+	function addRecentEntry(entry: LogEntry): void {
+		recentEntries.push(entry);
+		if (recentEntries.length > maxRecentEntries * 2) {
+			recentEntries.splice(0, recentEntries.length - maxRecentEntries);
 		}
 	}
 
@@ -84,7 +84,7 @@
 			return;
 		}
 
-		keepRecent(entry);
+		addRecentEntry(entry);
 		if (outcome === 'unreadable') {
 			events.write('recordUnreadable', {offset: entry.offset});
 			return;
@@ -93,8 +93,8 @@
 		void emitter.emit('folded', entry as LogEntry & {data: LogRecord});
 	}
 
-	// Offsets have no gaps; folding past one would give this daemon another state than its peers have.
-	function foldAdjoining(entries: readonly LogEntry[]): void {
+	// Stops at a gap in the offsets; folding past it would make this daemon's state differ from that of its peers.
+	function foldContiguous(entries: readonly LogEntry[]): void {
 		for (const entry of entries) {
 			if (entry.offset > state.next()) {
 				return;
@@ -104,19 +104,19 @@
 		}
 	}
 
-	// A snapshot older than what is folded would take configuration back to an earlier version.
-	function adoptSnapshot(snapshot: FleetSnapshot): void {
+	// Ignores a snapshot older than the current state, which would return the configuration to an earlier version.
+	function loadSnapshot(snapshot: FleetSnapshot): void {
 		if (snapshot.next <= state.next()) {
 			return;
 		}
 
 		state = createFleetState({window, snapshot});
-		recent.length = 0;
+		recentEntries.length = 0;
 		events.write('snapshotLoaded', {next: snapshot.next});
 		void emitter.emit('replaced');
 	}
 
-	async function readAll(first: number): Promise<LogEntry[]> {
+	async function readAllFrom(first: number): Promise<LogEntry[]> {
 		const entries: LogEntry[] = [];
 		let from = first;
 		for (;;) {
@@ -130,34 +130,34 @@
 		}
 	}
 
-	// The log no longer keeps the next record: this daemon is new, or was away for longer than the retention.
+	// The log no longer keeps the next record: this daemon is new or was down for longer than the retention period.
 	async function recoverFromSnapshot(first: number): Promise<void> {
 		events.write('retentionPassed', {next: state.next(), first});
-		const entries = await readAll(first);
+		const entries = await readAllFrom(first);
 		const newest = entries.map(entry => entry.data as LogRecord)
 			.findLast(record => record.kind === 'snapshot' && (record.state as FleetSnapshot).next >= first);
 		if (newest?.kind === 'snapshot') {
-			adoptSnapshot(newest.state as FleetSnapshot);
-			foldAdjoining(entries);
+			loadSnapshot(newest.state as FleetSnapshot);
+			foldContiguous(entries);
 		}
 	}
 
-	async function askPeers(): Promise<void> {
+	async function recoverFromPeers(): Promise<void> {
 		const relayed = await options.fetchFromPeers(state.next());
 		if (!relayed) {
 			return;
 		}
 
 		if (relayed.snapshot) {
-			adoptSnapshot(relayed.snapshot);
+			loadSnapshot(relayed.snapshot);
 		}
 
-		foldAdjoining(relayed.entries);
+		foldContiguous(relayed.entries);
 		events.write('recordsRelayed', {next: state.next()});
 		isReady = true;
 	}
 
-	function noteLog(isUp: boolean): void {
+	function recordLogState(isUp: boolean): void {
 		if (isUp !== isLogUp) {
 			events.write(isUp ? 'logBack' : 'logLost', {next: state.next()});
 		}
@@ -166,15 +166,15 @@
 	}
 
 	function foldPage(page: LogPage): void {
-		foldAdjoining(page.records);
+		foldContiguous(page.records);
 		isReady ||= state.next() >= page.next;
 		void emitter.emit('caughtUp');
 	}
 
-	async function step(signal: AbortSignal): Promise<void> {
-		const page = await log.read(state.next(), {wait: isReady && isLogUp ? longPoll : 0, signal});
+	async function readOnce(signal: AbortSignal): Promise<void> {
+		const page = await log.read(state.next(), {wait: isReady && isLogUp ? longPollMs : 0, signal});
 		if (page.ok) {
-			noteLog(true);
+			recordLogState(true);
 			foldPage(page.val);
 			return;
 		}
@@ -184,31 +184,31 @@
 		}
 
 		if (page.val.kind === 'gone') {
-			noteLog(true);
+			recordLogState(true);
 			await recoverFromSnapshot(page.val.first);
-			await askPeers();
+			await recoverFromPeers();
 			return;
 		}
 
-		noteLog(false);
-		await askPeers();
-		await clock.sleep(retryPause, signal);
+		recordLogState(false);
+		await recoverFromPeers();
+		await clock.sleep(retryDelayMs, signal);
 	}
 
 	return {
 		events: emitter,
 		state: (): FleetState => state,
-		/** True once this daemon has a version to work with. */
+		/** Returns whether the state has caught up with the log or with a peer once. */
 		isReady: () => isReady,
 		isLogUp: () => isLogUp,
 
 		async run(signal: AbortSignal): Promise<void> {
 			while (!signal.aborted) {
-				await step(signal);
+				await readOnce(signal);
 			}
 		},
 
-		/** Reads what is new without waiting for more; false when the log does not answer. */
+		/** Reads new records without waiting for more; false if the log does not answer. */
 		async catchUp(): Promise<boolean> {
 			const page = await log.read(state.next());
 			if (page.ok) {
@@ -218,12 +218,12 @@
 			return page.ok;
 		},
 
-		/** Waits until the state satisfies the condition; false when the signal was aborted first. */
+		/** Waits until the state satisfies the condition; false if the signal is aborted first. */
 		async waitFor(condition: (state: FleetState) => boolean, signal: AbortSignal): Promise<boolean> {
-			let end: () => void = () => undefined;
+			let onAbort: () => void = () => undefined;
 			const aborted = new Promise<void>(resolve => {
-				end = resolve;
-				signal.addEventListener('abort', end);
+				onAbort = resolve;
+				signal.addEventListener('abort', onAbort);
 			});
 			while (!condition(state) && !signal.aborted) {
 				const progress = emitter.once(['folded', 'replaced', 'caughtUp']);
@@ -231,15 +231,15 @@
 				progress.off();
 			}
 
-			signal.removeEventListener('abort', end);
+			signal.removeEventListener('abort', onAbort);
 			return condition(state);
 		},
 
-		/** Records from an offset on for a peer, or a snapshot when they are gone here. */
+		/** Returns the records from an offset on for a peer, or a snapshot if this daemon no longer keeps them. */
 		listRecent(from: number): RelayedRecords {
-			const first = recent[0]?.offset ?? state.next();
+			const first = recentEntries[0]?.offset ?? state.next();
 			return from >= first
-				? {entries: recent.slice(from - first)}
+				? {entries: recentEntries.slice(from - first)}
 				: {entries: [], snapshot: state.buildSnapshot()};
 		},
 	};
--- a/src/coordination/log-writer.ts
+++ b/src/coordination/log-writer.ts
@@ -1,5 +1,5 @@
 /**
- * Appends records to the platform's log, in groups, and finds out what became
+ * Appends records to the platform's log in batches, and determines the outcome
  * of an append whose answer was lost.
  *
  * @module
@@ -21,24 +21,24 @@
 
 /** Options of {@linkcode LogWriter.commit}. */
 export type CommitOptions = {
-	/** Tells from the folded state that the record has been folded, whatever it came to. */
+	/** Returns whether the record has been folded into the state, whatever its effect was. */
 	readonly isFolded: (state: FleetState) => boolean;
-	/** Ends the attempt; the record may stand on the log all the same. */
+	/** Aborts the attempt; the record may be recorded in the log all the same. */
 	readonly signal: AbortSignal;
 };
 
-/** Appends records. */
+/** Appends records to the platform's log. */
 export type LogWriter = ReturnType<typeof createLogWriter>;
 
-type Waiting = {
+type PendingAppend = {
 	readonly records: readonly LogRecord[];
 	readonly resolve: (result: Result<undefined, Failure>) => void;
 };
 
-const retryPause = 250;
+const retryDelayMs = 250;
 
 /**
- * Creates a writer.
+ * Creates a writer to the platform's log.
  *
  * @example
  * ```ts
@@ -51,19 +51,19 @@
  */
 export function createLogWriter(options: CreateLogWriterOptions) {
 	const {log, follower, clock, events} = options;
-	let waiting: Waiting[] = [];
+	let pending: PendingAppend[] = [];
 	let isWriting = false;
 	let appends = 0;
 
-	// Group commit: whatever arrives during one append goes out with the next, so a burst costs two appends.
-	async function drain(): Promise<void> {
+	// Group commit: records that arrive during an append are sent together in the next one, so a burst costs two appends.
+	async function flush(): Promise<void> {
 		isWriting = true;
-		while (waiting.length > 0) {
-			const group = waiting;
-			waiting = [];
+		while (pending.length > 0) {
+			const batch = pending;
+			pending = [];
 			appends += 1;
-			const result = await log.append(group.flatMap(item => item.records));
-			for (const item of group) {
+			const result = await log.append(batch.flatMap(item => item.records));
+			for (const item of batch) {
 				item.resolve(result);
 			}
 		}
@@ -73,17 +73,17 @@
 
 	async function append(records: readonly LogRecord[]): Promise<Result<undefined, Failure>> {
 		return new Promise(resolve => {
-			waiting.push({records, resolve});
+			pending.push({records, resolve});
 			if (!isWriting) {
-				void drain();
+				void flush();
 			}
 		});
 	}
 
-	// The answer was lost, not necessarily the record: only a read that began later can tell.
-	async function readAfterLoss(signal: AbortSignal): Promise<void> {
+	// The answer was lost, but the record may be in the log; only a read that starts later can show whether it is.
+	async function catchUpAfterLostAnswer(signal: AbortSignal): Promise<void> {
 		do {
-			await clock.sleep(retryPause, signal);
+			await clock.sleep(retryDelayMs, signal);
 		} while (!signal.aborted && !await follower.catchUp());
 	}
 
@@ -92,14 +92,15 @@
 		countAppends: () => appends,
 
 		/**
-		 * Appends a record and waits until it was read back.
+		 * Appends a record and waits until it has been read back.
 		 *
-		 * An append whose answer is lost may have taken effect. It is looked
-		 * for in the log and appended again only when it is not there; a copy
-		 * that arrives late all the same folds to nothing.
+		 * An append whose answer is lost may have taken effect. The record is
+		 * appended again only if a later read of the log does not find it. If
+		 * the first append is still carried out after that, the duplicate has
+		 * no effect when it is folded.
 		 */
-		async commit(record: LogRecord, commit: CommitOptions): Promise<Result<undefined, Failure>> {
-			const {isFolded, signal} = commit;
+		async commit(record: LogRecord, commitOptions: CommitOptions): Promise<Result<undefined, Failure>> {
+			const {isFolded, signal} = commitOptions;
 			while (!signal.aborted) {
 				const appended = await append([record]);
 				if (appended.ok) {
@@ -111,7 +112,7 @@
 				}
 
 				events.write('answerLost', {kind: record.kind});
-				await readAfterLoss(signal);
+				await catchUpAfterLostAnswer(signal);
 				if (isFolded(follower.state())) {
 					return Ok(undefined);
 				}
--- a/src/coordination/membership.test.ts
+++ b/src/coordination/membership.test.ts
@@ -8,18 +8,18 @@
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
 
-/** A daemon that knows its peers from a host list alone. */
-function createWorld(hosts: HostList['hosts']) {
+/** Creates the membership of a daemon whose only information about peers is the host list. */
+function createFixture(hosts: HostList['hosts']) {
 	const time = createVirtualTime();
 	const stopper = new AbortController();
-	let isListAway = false;
+	let isListUnavailable = false;
 	const membership = createMembership({
 		self: {
 			id: 'entry-1', role: 'entry', incarnation: 'i', isLeaving: false,
 		},
 		fleet: undefined as never, clock: time, events, seeds: [], listMembers: () => [], countNext: () => 0,
 		hostList: {
-			fetch: async () => isListAway ? Err(createFailure('internal', 'The host list is away')) : Ok({hosts}),
+			fetch: async () => isListUnavailable ? Err(createFailure('internal', 'The host list is unavailable')) : Ok({hosts}),
 			close: async () => undefined,
 		},
 		hostListEvery: 1000, heartbeatEvery: 500, suspectAfter: 1500,
@@ -27,8 +27,8 @@
 	void membership.run(stopper.signal);
 	return {
 		time, membership,
-		setListAway(value: boolean) {
-			isListAway = value;
+		setListUnavailable(value: boolean) {
+			isListUnavailable = value;
 		},
 		stop() {
 			stopper.abort();
@@ -36,14 +36,15 @@
 	};
 }
 
-test('a host list that has been away for long says of nobody that it is gone', async () => {
-	// A customer's tokens are locked: an upstream daemon that is only cut off is
-	// ended by its peers, and what it had not reported counts as used. The host
-	// list was last read before that daemon's host was there, and is away since.
-	const {time, membership, setListAway, stop} = createWorld([{id: 'up-1', state: 'live'}]);
+test('a host list that has been unavailable for long reports no daemon as gone', async () => {
+	// Guards against locked customer tokens: peers end an upstream daemon that is
+	// only cut off, and the tokens it has not reported count as used. The cause is
+	// a host list that was last read before the daemon's host was added and has
+	// been unavailable since.
+	const {time, membership, setListUnavailable, stop} = createFixture([{id: 'up-1', state: 'live'}]);
 	await time.runUntil(2000);
 	expect(membership.isGone('up-2')).toBe(true);
-	setListAway(true);
+	setListUnavailable(true);
 	await time.runUntil(5000);
 	expect(membership.isGone('up-2')).toBe(true);
 	await time.runUntil(60_000);
@@ -51,13 +52,14 @@
 	stop();
 });
 
-test('a host list that has been away for long says of nobody that it is leaving', async () => {
-	// Callers are refused though an upstream daemon serves: its host was to leave,
-	// stayed, and the host list has been away since it said so.
-	const {time, membership, setListAway, stop} = createWorld([{id: 'up-1', state: 'leaving'}]);
+test('a host list that has been unavailable for long reports no daemon as leaving', async () => {
+	// Guards against refused callers although an upstream daemon serves: its host
+	// was listed as leaving but stayed, and the host list has been unavailable
+	// since.
+	const {time, membership, setListUnavailable, stop} = createFixture([{id: 'up-1', state: 'leaving'}]);
 	await time.runUntil(2000);
 	expect(membership.isLeaving('up-1')).toBe(true);
-	setListAway(true);
+	setListUnavailable(true);
 	await time.runUntil(60_000);
 	expect(membership.isLeaving('up-1')).toBe(false);
 	stop();
--- a/src/coordination/membership.ts
+++ b/src/coordination/membership.ts
@@ -1,8 +1,9 @@
 /**
- * Who is there: one task for each peer exchanges heartbeats with it; the host
- * list and the log's joins tell which peers to try.
+ * Membership and failure detection: one task per peer exchanges heartbeats with
+ * it. The peers to contact come from the settings and from the join records of
+ * the log; the host list shows which hosts are leaving or gone.
  *
- * All of it is a hint. What counts is decided by the log's order.
+ * All of this is a hint only; the order of the log decides.
  *
  * @module
  */
@@ -12,7 +13,7 @@
 import type {Clock, FleetClient, HostListClient} from '../transport/mod.js';
 import type {RelayedRecords} from './log-follower.js';
 
-/** An upstream daemon's load as last heard. */
+/** Load of an upstream daemon, as last reported. */
 export type ReportedLoad = {
 	readonly running: number;
 	readonly queued: number;
@@ -26,9 +27,9 @@
 	/** Empty until the peer has answered once. */
 	id: string;
 	incarnation: string;
-	/** Clock of the last answer; undefined before the first. */
+	/** Clock time of the last answer; undefined before the first. */
 	seenAt?: number;
-	/** Clock of the first look at this peer. */
+	/** Clock time at which the peer was added. */
 	readonly knownSince: number;
 	isSuspected: boolean;
 	isLeaving: boolean;
@@ -37,7 +38,7 @@
 	load?: ReportedLoad;
 };
 
-/** This daemon, as told to peers. */
+/** This daemon, as advertised to peers. */
 export type Self = {
 	readonly id: string;
 	readonly role: 'entry' | 'upstream';
@@ -51,13 +52,13 @@
 	readonly fleet: FleetClient;
 	readonly clock: Clock;
 	readonly events: EventLog;
-	/** Addresses to ask before the log has named any. */
+	/** Addresses of peers to contact before the log has named any. */
 	readonly seeds: readonly string[];
 	readonly hostList?: HostListClient;
 	readonly hostListEvery: number;
 	readonly heartbeatEvery: number;
 	readonly suspectAfter: number;
-	/** The members that the log names. */
+	/** Lists the members that have joined according to the log. */
 	readonly listMembers: () => Iterable<Readonly<Member>>;
 	readonly countNext: () => number;
 };
@@ -66,12 +67,12 @@
 	changed: PeerStatus;
 };
 
-/** Who is there. */
+/** Tracks the peers of a daemon. */
 export type Membership = ReturnType<typeof createMembership>;
 
-const rosterPause = 100;
-/** What the host list said counts for so many of its pauses; it lags anyway, and one answer may be lost. */
-const hostListLife = 10;
+const peerSyncIntervalMs = 100;
+/** Number of request intervals for which the host list stays valid; it lags anyway, and an answer may be lost. */
+const maxHostListAgeIntervals = 10;
 
 /**
  * Creates the membership of a daemon; `run` starts its tasks.
@@ -82,7 +83,7 @@
  * membership.isAlive('up-1');
  * ```
  *
- * @param options This daemon and the ways to its peers
+ * @param options This daemon and the clients that reach its peers
  * @returns The membership
  */
 export function createMembership(options: CreateMembershipOptions) {
@@ -92,12 +93,12 @@
 	const emitter = new Emittery<MembershipEvents>();
 	const peers = new Map<string, PeerStatus>();
 	let hostStates: ReadonlyMap<string, 'live' | 'leaving'> | undefined;
-	let hostsAskedAt = 0;
+	let hostListRequestedAt = 0;
 
 	function findPeer(id: string): PeerStatus | undefined {
 		let found: PeerStatus | undefined;
 		for (const peer of peers.values()) {
-			// A replaced host answers under a new address; the one heard last is the daemon.
+			// A replaced host answers at a new address; the address that answered last is the current one.
 			if (peer.id === id && (peer.seenAt ?? 0) >= (found?.seenAt ?? 0)) {
 				found = peer;
 			}
@@ -106,7 +107,7 @@
 		return found;
 	}
 
-	function noteSilence(peer: PeerStatus): void {
+	function suspectIfOverdue(peer: PeerStatus): void {
 		const since = peer.seenAt ?? peer.knownSince;
 		if (!peer.isSuspected && clock.now() - since > suspectAfter) {
 			peer.isSuspected = true;
@@ -115,7 +116,7 @@
 		}
 	}
 
-	function noteAnswer(peer: PeerStatus): void {
+	function recordAnswer(peer: PeerStatus): void {
 		peer.seenAt = clock.now();
 		if (peer.isSuspected) {
 			peer.isSuspected = false;
@@ -131,7 +132,7 @@
 			const answer = await connection.peer.heartbeat({
 				from: self.id, incarnation: self.incarnation, role: self.role, leaving: self.isLeaving, nextOffset: options.countNext(),
 			}, {timeoutMs: suspectAfter});
-			noteAnswer(peer);
+			recordAnswer(peer);
 			peer.id = answer.id;
 			peer.incarnation = answer.incarnation;
 			peer.nextOffset = answer.nextOffset;
@@ -145,30 +146,31 @@
 
 			peer.isLeaving = answer.leaving;
 		} catch {
-			// A heartbeat that hung for the whole bound means a silent connection: new ones may work.
+			// A heartbeat that timed out suggests an unresponsive connection; a new one may work.
 			if (clock.now() - sentAt >= suspectAfter) {
 				connection.abandon();
 			}
 		}
 	}
 
-	// One task for each peer; it ends when neither the log nor the settings name the address any more.
-	async function followPeer(peer: PeerStatus, signal: AbortSignal): Promise<void> {
+	// One task per peer; it ends when neither the log nor the settings name its address any more.
+	async function runHeartbeats(peer: PeerStatus, signal: AbortSignal): Promise<void> {
 		while (!signal.aborted && peers.get(peer.address) === peer) {
-			const watch = setInterval(() => {
-				noteSilence(peer);
+			const overdueTimer = setInterval(() => {
+				suspectIfOverdue(peer);
 			}, options.heartbeatEvery);
 			await exchangeHeartbeat(peer);
-			clearInterval(watch);
-			noteSilence(peer);
+			clearInterval(overdueTimer);
+			suspectIfOverdue(peer);
 			await clock.sleep(options.heartbeatEvery, signal);
 		}
 	}
 
-	function listAddresses(): Map<string, Readonly<Member> | undefined> {
+	function listPeerAddresses(): Map<string, Readonly<Member> | undefined> {
 		const addresses = new Map<string, Readonly<Member> | undefined>(options.seeds.map(seed => [seed, undefined]));
 		for (const member of options.listMembers()) {
-			// Entries watch everybody; upstream daemons need only entries, for records while the log is away.
+			// Entry daemons monitor all daemons. Upstream daemons need only entry daemons, as a source of records while the log
+			// is unavailable.
 			if (member.daemon !== self.id && (self.role === 'entry' || member.role === 'entry')) {
 				addresses.set(member.address, member);
 			}
@@ -177,9 +179,9 @@
 		return addresses;
 	}
 
-	async function runRoster(signal: AbortSignal): Promise<void> {
+	async function runPeerSync(signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
-			const addresses = listAddresses();
+			const addresses = listPeerAddresses();
 			for (const [address, member] of addresses) {
 				if (!peers.has(address)) {
 					const peer: PeerStatus = {
@@ -187,7 +189,7 @@
 						isSuspected: false, isLeaving: false, nextOffset: 0, version: 0,
 					};
 					peers.set(address, peer);
-					void followPeer(peer, signal);
+					void runHeartbeats(peer, signal);
 				}
 			}
 
@@ -197,16 +199,16 @@
 				}
 			}
 
-			await clock.sleep(rosterPause, signal);
+			await clock.sleep(peerSyncIntervalMs, signal);
 		}
 	}
 
-	async function runHostList(hostList: HostListClient, signal: AbortSignal): Promise<void> {
+	async function runHostListPolling(hostList: HostListClient, signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
-			const askedAt = clock.now();
+			const requestedAt = clock.now();
 			const list = await hostList.fetch();
 			if (list.ok) {
-				hostsAskedAt = askedAt;
+				hostListRequestedAt = requestedAt;
 				hostStates = new Map(list.val.hosts.map(host => [host.id, host.state]));
 			}
 
@@ -214,13 +216,13 @@
 		}
 	}
 
-	// Guards against a host list that is away: its last answer says that a host is leaving which has stayed, and lacks
-	// those that came since, so a daemon that is only cut off would be ended.
-	function findHostStates(): ReadonlyMap<string, 'live' | 'leaving'> | undefined {
-		return clock.now() - hostsAskedAt <= options.hostListEvery * hostListLife ? hostStates : undefined;
+	// Ignores an outdated host list. While the host list is unavailable, its last answer may list a host as leaving that
+	// has stayed, and lacks hosts added since, so a daemon that is only cut off would be removed.
+	function getFreshHostStates(): ReadonlyMap<string, 'live' | 'leaving'> | undefined {
+		return clock.now() - hostListRequestedAt <= options.hostListEvery * maxHostListAgeIntervals ? hostStates : undefined;
 	}
 
-	async function fetchFrom(peer: PeerStatus, from: number): Promise<RelayedRecords | undefined> {
+	async function fetchRecordsFromPeer(peer: PeerStatus, from: number): Promise<RelayedRecords | undefined> {
 		try {
 			const reply = await fleet.connect(peer.address).peer.records({from}, {timeoutMs: suspectAfter});
 			return {
@@ -236,9 +238,9 @@
 		events: emitter,
 		self,
 		async run(signal: AbortSignal): Promise<void> {
-			const tasks = [runRoster(signal)];
+			const tasks = [runPeerSync(signal)];
 			if (options.hostList) {
-				tasks.push(runHostList(options.hostList, signal));
+				tasks.push(runHostListPolling(options.hostList, signal));
 			}
 
 			await Promise.all(tasks);
@@ -246,30 +248,31 @@
 
 		get: findPeer,
 		list: (): PeerStatus[] => [...peers.values()],
-		/** True when the peer answered lately. */
+		/** Returns whether the peer has answered and is not suspected. */
 		isAlive(id: string): boolean {
 			const peer = findPeer(id);
 			return peer?.seenAt !== undefined && !peer.isSuspected;
 		},
 
-		/** True when the peer, its host, or both said that it is leaving. */
-		isLeaving: (id: string): boolean => Boolean(findPeer(id)?.isLeaving) || findHostStates()?.get(id) === 'leaving',
-		/** True when the host list answered lately and does not name the daemon. */
+		/** Returns whether the peer or the host list reports that it is leaving. */
+		isLeaving: (id: string): boolean => Boolean(findPeer(id)?.isLeaving) || getFreshHostStates()?.get(id) === 'leaving',
+		/** Returns whether the host list is fresh and does not name the daemon. */
 		isGone(id: string): boolean {
-			const states = findHostStates();
+			const states = getFreshHostStates();
 			return states !== undefined && !states.has(id);
 		},
 
+		/** Lists the other entry daemons that have answered and are not suspected. */
 		listLiveEntries(members: Iterable<Readonly<Member>>): Member[] {
 			return [...members].filter(member => member.role === 'entry' && member.daemon !== self.id
 				&& !findPeer(member.daemon)?.isSuspected && findPeer(member.daemon)?.seenAt !== undefined);
 		},
 
-		/** Asks the peer that is furthest ahead for records. */
+		/** Fetches records from the live peer with the highest offset; undefined if none is ahead or the request fails. */
 		async fetchRecords(from: number): Promise<RelayedRecords | undefined> {
-			const ahead = [...peers.values()].filter(peer => peer.nextOffset > from && !peer.isSuspected && peer.seenAt !== undefined);
-			ahead.sort((left, right) => right.nextOffset - left.nextOffset);
-			return ahead[0] && fetchFrom(ahead[0], from);
+			const candidates = [...peers.values()].filter(peer => peer.nextOffset > from && !peer.isSuspected && peer.seenAt !== undefined);
+			candidates.sort((left, right) => right.nextOffset - left.nextOffset);
+			return candidates[0] && fetchRecordsFromPeer(candidates[0], from);
 		},
 	};
 }
--- a/src/coordination/mod.ts
+++ b/src/coordination/mod.ts
@@ -1,6 +1,6 @@
 /**
- * How the daemons act together: the log, grants, membership, routing, retries,
- * stopping. Calls the state, transport and protocol layers.
+ * Coordination between daemons: log, grants, membership, routing, retries and
+ * shutdown. Uses the state, transport and protocol layers.
  *
  * @module
  */
@@ -18,7 +18,7 @@
 export * from './grant-size.js';
 export * from './intents.js';
 export * from './keyed-follower.js';
-export * from './lapse-grace.js';
+export * from './expiry-grace.js';
 export * from './loan-desk.js';
 export * from './log-follower.js';
 export * from './log-writer.js';
--- a/src/coordination/relayed-log.test.ts
+++ b/src/coordination/relayed-log.test.ts
@@ -8,21 +8,21 @@
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
 
-function createWorld() {
+function createFixture() {
 	const store = createFakeKeyedLog();
 	let now = 0;
-	let isCut = false;
-	let isSilent = false;
-	const reached: string[] = [];
-	const cut = createFakeKeyedLog();
-	cut.isAway = true;
-	let wake: () => void = () => undefined;
+	let isDirectPathCut = false;
+	let isDirectPathUnresponsive = false;
+	const reachedPaths: string[] = [];
+	const cutStore = createFakeKeyedLog();
+	cutStore.isAway = true;
+	let wakeSleeper: () => void = () => undefined;
 	const clock = {
 		now: () => now,
-		sleep: async (span: number) => span === 0
+		sleep: async (ms: number) => ms === 0
 			? undefined
 			: new Promise<void>(resolve => {
-				wake = resolve;
+				wakeSleeper = resolve;
 			}),
 	};
 	const direct = store.open();
@@ -30,108 +30,108 @@
 		direct: {
 			name: 'grants',
 			async readNewest() {
-				reached.push('direct');
-				if (isSilent) {
+				reachedPaths.push('direct');
+				if (isDirectPathUnresponsive) {
 					await new Promise(() => undefined); // eslint-disable-line no-promise-executor-return
 				}
 
-				return (isCut ? cut.open() : direct).readNewest();
+				return (isDirectPathCut ? cutStore.open() : direct).readNewest();
 			},
-			read: async (from, options) => (isCut ? cut.open() : direct).read(from, options),
-			append: async (record, options) => (isCut ? cut.open() : direct).append(record, options),
+			read: async (from, options) => (isDirectPathCut ? cutStore.open() : direct).read(from, options),
+			append: async (record, options) => (isDirectPathCut ? cutStore.open() : direct).append(record, options),
 		},
 		path: createDirectPath({clock, events}),
 		clock,
-		listRelays: () => ['cut', 'well'],
+		listRelays: () => ['cut', 'healthy'],
 		openThrough(address) {
-			reached.push(address);
-			return address === 'well' ? store.open() : cut.open();
+			reachedPaths.push(address);
+			return address === 'healthy' ? store.open() : cutStore.open();
 		},
 	});
 	return {
-		store, log, reached,
-		setCut(value: boolean) {
-			isCut = value;
+		store, log, reachedPaths,
+		setDirectPathCut(value: boolean) {
+			isDirectPathCut = value;
 		},
-		setSilent(value: boolean) {
-			isSilent = value;
+		setDirectPathUnresponsive(value: boolean) {
+			isDirectPathUnresponsive = value;
 		},
-		pass(span: number) {
-			now += span;
-			wake();
+		advance(ms: number) {
+			now += ms;
+			wakeSleeper();
 		},
 	};
 }
 
-test('a gateway cut off from the store claims through a daemon that is not', async () => {
-	// Callers are refused in every partition between gateways and the store,
-	// though the processes beside the engines reach it all the while.
-	const world = createWorld();
-	world.setCut(true);
-	const outcome = await world.log.append({key: 'a', value: '1'}, {at: 0});
+test('a gateway that is cut off from the store appends through a relay that reaches it', async () => {
+	// Guards against refused callers in every partition between gateways and the
+	// store, although the daemons beside the engines still reach the store.
+	const fixture = createFixture();
+	fixture.setDirectPathCut(true);
+	const outcome = await fixture.log.append({key: 'a', value: '1'}, {at: 0});
 	expect(outcome.kind).toBe('appended');
-	expect(world.store.records.length).toBe(1);
+	expect(fixture.store.records.length).toBe(1);
 });
 
-test('an append that went both ways stands once', async () => {
-	const world = createWorld();
-	world.store.fates.push('lost-after');
-	const outcome = await world.log.append({key: 'a', value: '1'}, {at: 0});
+test('an append sent on both paths takes effect once', async () => {
+	const fixture = createFixture();
+	fixture.store.fates.push('lost-after');
+	const outcome = await fixture.log.append({key: 'a', value: '1'}, {at: 0});
 	expect(outcome.kind).toBe('behind');
-	expect(world.store.records.length).toBe(1);
+	expect(fixture.store.records.length).toBe(1);
 });
 
-test('the direct way is left alone for a while and then tried again', async () => {
-	const world = createWorld();
-	world.setCut(true);
-	await world.log.readNewest();
-	world.reached.length = 0;
-	await world.log.readNewest();
-	expect(world.reached).toEqual(['well']);
-	world.pass(1000);
-	world.setCut(false);
-	world.reached.length = 0;
-	await world.log.readNewest();
-	expect(world.reached).toEqual(['direct', 'well']);
-	world.reached.length = 0;
-	await world.log.readNewest();
-	expect(world.reached[0]).toBe('direct');
+test('the direct path is not used for a while after a failure and then tried again', async () => {
+	const fixture = createFixture();
+	fixture.setDirectPathCut(true);
+	await fixture.log.readNewest();
+	fixture.reachedPaths.length = 0;
+	await fixture.log.readNewest();
+	expect(fixture.reachedPaths).toEqual(['healthy']);
+	fixture.advance(1000);
+	fixture.setDirectPathCut(false);
+	fixture.reachedPaths.length = 0;
+	await fixture.log.readNewest();
+	expect(fixture.reachedPaths).toEqual(['direct', 'healthy']);
+	fixture.reachedPaths.length = 0;
+	await fixture.log.readNewest();
+	expect(fixture.reachedPaths[0]).toBe('direct');
 });
 
-test('a call does not wait for a direct way that fell silent', async () => {
-	// Callers wait a second for tokens whenever their gateway is cut off: the
-	// call to the store hangs until it is given up on, and only then goes
+test('a call does not wait for an unresponsive direct path', async () => {
+	// Guards against callers who wait a second for tokens whenever their gateway is
+	// cut off: the call to the store hangs until its timeout and only then goes
 	// through a relay.
-	const world = createWorld();
-	world.setSilent(true);
-	const first = world.log.readNewest();
-	world.pass(120);
+	const fixture = createFixture();
+	fixture.setDirectPathUnresponsive(true);
+	const first = fixture.log.readNewest();
+	fixture.advance(120);
 	const newest = await first;
 	expect(newest.ok).toBe(true);
-	expect(world.reached).toEqual(['direct', 'cut', 'well']);
-	world.reached.length = 0;
-	await world.log.readNewest();
-	expect(world.reached).toEqual(['well']);
+	expect(fixture.reachedPaths).toEqual(['direct', 'cut', 'healthy']);
+	fixture.reachedPaths.length = 0;
+	await fixture.log.readNewest();
+	expect(fixture.reachedPaths).toEqual(['healthy']);
 });
 
-test('a call that looks whether the direct way works again is not held up by it', async () => {
-	// Once a second a caller waits for tokens until the look at a way that is
-	// still silent has been given up on.
-	const world = createWorld();
-	world.setSilent(true);
-	const first = world.log.readNewest();
-	world.pass(120);
+test('a call that probes the direct path is not delayed by the probe', async () => {
+	// Guards against a caller who waits for tokens, once a second, until the probe
+	// of a path that is still unresponsive times out.
+	const fixture = createFixture();
+	fixture.setDirectPathUnresponsive(true);
+	const first = fixture.log.readNewest();
+	fixture.advance(120);
 	await first;
-	world.pass(1000);
-	world.reached.length = 0;
-	const newest = await world.log.readNewest();
+	fixture.advance(1000);
+	fixture.reachedPaths.length = 0;
+	const newest = await fixture.log.readNewest();
 	expect(newest.ok).toBe(true);
-	expect(world.reached).toEqual(['direct', 'well']);
+	expect(fixture.reachedPaths).toEqual(['direct', 'healthy']);
 });
 
-test('a follower whose records are gone takes the newest and drops missing keys', async () => {
-	// Requests go to an upstream that left long ago: the log dropped the record
-	// that said so before this gateway read it.
+test('a follower whose next record is gone reads the newest records and drops missing keys', async () => {
+	// Guards against requests to an upstream that left long ago: the log dropped
+	// the record of its removal before this gateway read it.
 	const store = createFakeKeyedLog();
 	const known = new Set<string>();
 	const follower = createKeyedFollower({
@@ -154,109 +154,107 @@
 });
 
 /**
- * A read must be over within this many milliseconds while any way works: an
- * upstream serves for 2 s after its leaving, upstreams are read each 0.5 s, and
- * 0.5 s are kept in hand.
+ * Longest duration of a read while any path works: an upstream serves for 2 s
+ * after it leaves, upstreams are read every 0.5 s, and 0.5 s is a margin.
  */
-const readSpan = 1000;
+const maxReadMs = 1000;
 
-/** A world in virtual time, in which ways to the store fall silent and calls on them are given up on after a while. */
-function createSilentWorld(relays: readonly string[]) {
+/** Creates a log in virtual time; paths named in `unresponsive` do not answer, and calls on them time out. */
+function createVirtualFixture(relays: readonly string[]) {
 	const time = createVirtualTime();
 	const store = createFakeKeyedLog();
-	const silent = new Set<string>();
-	const away = createFailure('log-unavailable', 'No answer');
+	const unresponsive = new Set<string>();
+	const noAnswer = createFailure('log-unavailable', 'No answer');
 	const log = createRelayedLog({
-		direct: openSilent('direct', 1000), path: createDirectPath({clock: time, events}), clock: time,
+		direct: openPath('direct', 1000), path: createDirectPath({clock: time, events}), clock: time,
 		listRelays: () => [...relays],
-		openThrough: address => openSilent(address, 1200),
+		openThrough: address => openPath(address, 1200),
 	});
 
-	function openSilent(name: string, bound: number): KeyedLog {
+	function openPath(name: string, timeoutMs: number): KeyedLog {
 		return {
 			...store.open(),
 			async readNewest() {
-				const isSilent = silent.has(name);
-				await time.sleep(isSilent ? bound : 4);
-				return isSilent ? Err(away) : store.open().readNewest();
+				const isUnresponsive = unresponsive.has(name);
+				await time.sleep(isUnresponsive ? timeoutMs : 4);
+				return isUnresponsive ? Err(noAnswer) : store.open().readNewest();
 			},
 		};
 	}
 
 	return {
-		time, silent,
-		/** Begins a read; tells how long it took, in milliseconds, once it was answered. */
-		read() {
+		time, unresponsive,
+		/** Starts a read; its duration is set in the result once the read succeeds. */
+		startRead() {
 			const startedAt = time.now();
-			const outcome: {took: number | undefined} = {took: undefined};
+			const result: {tookMs: number | undefined} = {tookMs: undefined};
 			void (async () => {
 				const newest = await log.readNewest();
-				outcome.took = newest.ok ? time.now() - startedAt : undefined;
+				result.tookMs = newest.ok ? time.now() - startedAt : undefined;
 			})();
 
-			return outcome;
+			return result;
 		},
 	};
 }
 
-test('a daemon that died does not hold a call up for the next', async () => {
-	// A gateway learns seconds late that an engine left: its direct way to the
-	// store is cut, the host of the daemon that it asks first has lost power, and
-	// the next daemon is asked only when that call has been given up on.
-	const {time, silent, read} = createSilentWorld(['dead', 'well']);
-	silent.add('direct').add('dead');
-	const first = read();
-	await time.runUntil(readSpan);
-	expect(first.took).toBeLessThan(readSpan);
+test('a dead relay does not delay the call to the next one', async () => {
+	// Guards against a gateway that learns seconds late that an engine left: its
+	// direct path to the store is cut, the host of the first relay has lost power,
+	// and the next relay is tried only after that call has timed out.
+	const {time, unresponsive, startRead} = createVirtualFixture(['dead', 'healthy']);
+	unresponsive.add('direct').add('dead');
+	const first = startRead();
+	await time.runUntil(maxReadMs);
+	expect(first.tookMs).toBeLessThan(maxReadMs);
 });
 
-test('a direct way that works again is not held up by daemons that died', async () => {
-	// The gateway takes the store for away though it is back: between two looks
-	// at the direct way all calls go through daemons, each is silent, and they
-	// are asked in turn.
-	const {time, silent, read} = createSilentWorld(['dead-1', 'dead-2', 'dead-3']);
-	silent.add('direct').add('dead-1').add('dead-2').add('dead-3');
-	read();
+test('dead relays do not delay a call when the direct path works again', async () => {
+	// Guards against a gateway that still considers the store unavailable after its
+	// recovery: between two probes of the direct path all calls go through relays,
+	// which are all unresponsive and are tried in sequence.
+	const {time, unresponsive, startRead} = createVirtualFixture(['dead-1', 'dead-2', 'dead-3']);
+	unresponsive.add('direct').add('dead-1').add('dead-2').add('dead-3');
+	startRead();
 	await time.runUntil(1100);
-	silent.delete('direct');
-	const second = read();
-	await time.runUntil(1100 + readSpan);
-	expect(second.took).toBeLessThan(readSpan);
+	unresponsive.delete('direct');
+	const second = startRead();
+	await time.runUntil(1100 + maxReadMs);
+	expect(second.tookMs).toBeLessThan(maxReadMs);
 });
 
-test('daemons that died are asked after the others', async () => {
-	// A gateway that is cut off stays without news of the store for good, though
-	// a daemon that reaches it lives: the three that it asks first have died, and
-	// it asks the same three each time.
-	const {time, silent, read} = createSilentWorld(['dead-1', 'dead-2', 'dead-3', 'well']);
-	silent.add('direct').add('dead-1').add('dead-2').add('dead-3');
-	read();
+test('dead relays are tried after the others', async () => {
+	// Guards against a gateway that never reaches the store although one relay
+	// does: the first three relays are dead, and each call tries the same three.
+	const {time, unresponsive, startRead} = createVirtualFixture(['dead-1', 'dead-2', 'dead-3', 'healthy']);
+	unresponsive.add('direct').add('dead-1').add('dead-2').add('dead-3');
+	startRead();
 	await time.runUntil(3000);
-	const second = read();
-	await time.runUntil(3000 + readSpan);
-	expect(second.took).toBeLessThan(readSpan);
+	const second = startRead();
+	await time.runUntil(3000 + maxReadMs);
+	expect(second.tookMs).toBeLessThan(maxReadMs);
 });
 
-// Guards against calls through daemons that are all cut off: each is work for two processes, beside requests
-// that they could serve.
-test('daemons that are all cut off are left alone for a while', async () => {
+// Guards against calls through relays that are all cut off: each call costs work in two processes, which could serve
+// requests instead.
+test('relays that are all cut off are not tried for a while', async () => {
 	const time = createVirtualTime();
-	const asked: number[] = [];
-	const away = createFailure('log-unavailable', 'It is cut off');
-	const lost: KeyedLog = {
+	const relayCallTimes: number[] = [];
+	const cutOffFailure = createFailure('log-unavailable', 'The relay is cut off');
+	const cutOffLog: KeyedLog = {
 		name: 'grants',
-		readNewest: async () => Err(away),
-		read: async () => Err({kind: 'away', failure: away}),
-		append: async () => ({kind: 'unknown', failure: away}),
+		readNewest: async () => Err(cutOffFailure),
+		read: async () => Err({kind: 'away', failure: cutOffFailure}),
+		append: async () => ({kind: 'unknown', failure: cutOffFailure}),
 	};
 	const log = createRelayedLog({
-		direct: lost,
+		direct: cutOffLog,
 		path: createDirectPath({clock: time, events}),
 		clock: time,
 		listRelays: () => ['a', 'b', 'c', 'd'],
 		openThrough() {
-			asked.push(time.now());
-			return lost;
+			relayCallTimes.push(time.now());
+			return cutOffLog;
 		},
 	});
 	const stopper = new AbortController();
@@ -269,8 +267,8 @@
 
 	await time.runUntil(20_000);
 	stopper.abort();
-	const late = asked.filter(at => at > 10_000).length / 10;
-	// Five calls a second with three daemons each would be fifteen.
-	expect(late).toBeLessThanOrEqual(3);
-	expect(late).toBeGreaterThan(0);
+	const callsPerSecond = relayCallTimes.filter(at => at > 10_000).length / 10;
+	// Five calls per second with three relays each would be fifteen.
+	expect(callsPerSecond).toBeLessThanOrEqual(3);
+	expect(callsPerSecond).toBeGreaterThan(0);
 });
--- a/src/coordination/relayed-log.ts
+++ b/src/coordination/relayed-log.ts
@@ -1,11 +1,11 @@
 /**
- * A keyed log that is reached through another daemon while the direct way to
- * the store is cut.
+ * A keyed log that is reached through another daemon while the direct path to
+ * the store is down.
  *
- * A partition often separates some hosts from the store and leaves the ways
- * between hosts whole; the daemons that still reach the store then carry the
- * others' calls. An append keeps its condition on the way, so one that is sent
- * both ways stands on the log once at most.
+ * A network partition often separates some hosts from the store but leaves the
+ * connections between hosts intact; daemons that still reach the store then
+ * relay the calls of the others. A relayed append keeps its condition, so an
+ * append that is sent on both paths takes effect at most once.
  *
  * @module
  */
@@ -14,189 +14,194 @@
 } from '../protocol/mod.js';
 import {waitAtMost, type Clock} from '../transport/mod.js';
 
-/** Whether the direct way to the store works; shared by all logs of a daemon. */
-export type DirectPath = ReturnType<typeof createDirectPath>;
+/** Tracks whether the direct path to the store works and which relays reach it; shared by all logs of a daemon. */
+export type StorePathTracker = ReturnType<typeof createDirectPath>;
 
 /** Options of {@linkcode createRelayedLog}. */
 export type CreateRelayedLogOptions = {
 	readonly direct: KeyedLog;
-	readonly path: DirectPath;
+	readonly path: StorePathTracker;
 	readonly clock: Clock;
-	/** Addresses of daemons that may reach the store, the nearest first. */
+	/** Lists the addresses of daemons that may reach the store, nearest first. */
 	readonly listRelays: () => string[];
-	/** The same log through another daemon. */
+	/** Opens the same log through the daemon at an address. */
 	readonly openThrough: (address: string) => KeyedLog;
 };
 
 /** Options of {@linkcode createDirectPath}. */
-export type CreateDirectPathOptions = {readonly clock: Clock; readonly events: EventLog};
+export type CreateStorePathTrackerOptions = {readonly clock: Clock; readonly events: EventLog};
 
-/** Pause between calls that look whether the direct way works again, in milliseconds. */
-const probeEvery = 1000;
+/** Interval of the direct calls that check whether the direct path works again. */
+const probeIntervalMs = 1000;
 /**
- * A call that takes longer one way, in milliseconds, goes another way as well.
- * A call takes 4 ms, and 1 s until a silent one is given up on: callers whose
- * tokens had to be claimed waited that second in each partition.
+ * A call that is not answered after this time is sent on another path as well.
+ * A store call takes 4 ms, but times out only after 1 s if the path does not
+ * respond: callers whose tokens had to be claimed waited that second in every
+ * partition.
  */
-const hedgeAfter = 120;
-/** Daemons asked in one call: a relay may be cut off as well. */
-const relaysTried = 3;
+const hedgeDelayMs = 120;
+/** More than one, since a relay may be cut off from the store as well. */
+const maxRelaysPerCall = 3;
 /**
- * The next daemon is asked beside one that keeps silent for so long, in
- * milliseconds: longer than a slow store takes, which is not helped by more calls.
+ * A call is also sent to the next relay if a relay has not answered after this
+ * time. Longer than a slow store takes, since further calls would not speed it up.
  */
-const relayPatience = 450;
-/** Calls that reach the store through no relay before relays are left alone: by then most of a fleet's were asked. */
-const lostCallsBorne = 8;
-/** How long relays are first left alone, in milliseconds, doubled with each further call that reaches nothing. */
-const restStep = 500;
-/** Longest time for which relays are left alone, in milliseconds: half of the time for which an upstream that left serves. */
-const restLimit = 1000;
+const relayHedgeDelayMs = 450;
+/** Consecutive failed relayed calls before relays are paused; by then most relays of a fleet have been tried. */
+const maxFailedRelayedCalls = 8;
+/** First pause without relayed calls; doubles with each further relayed call that fails. */
+const initialRelayPauseMs = 500;
+/** Half of the time for which an upstream that left still serves requests. */
+const maxRelayPauseMs = 1000;
 
 /**
- * Creates the record of the direct way to the store.
+ * Creates a tracker of the paths to the store: the direct one and the relays.
  *
  * @example
  * ```ts
  * const path = createDirectPath({clock, events});
  * ```
  *
- * @param options Clock and log
- * @returns The record
+ * @param options The clock and the event log
+ * @returns The tracker
  */
-export function createDirectPath(options: CreateDirectPathOptions) {
+export function createDirectPath(options: CreateStorePathTrackerOptions) {
 	const {clock, events} = options;
-	let triedAt = Number.NEGATIVE_INFINITY;
+	let lastProbeAt = Number.NEGATIVE_INFINITY;
 	let isUp = true;
-	let lastRelay = '';
-	const lostRelays = new Map<string, number>();
-	/** Calls in a row that reached the store through no relay. */
-	let lostCalls = 0;
-	let restsUntil = Number.NEGATIVE_INFINITY;
-	// The relay that answered last comes first; those that did not reach the store come last, the longest lost before the others.
-	const rankRelay = (address: string): number => address === lastRelay ? Number.NEGATIVE_INFINITY : lostRelays.get(address) ?? -1;
+	let preferredRelay = '';
+	const relayFailureTimes = new Map<string, number>();
+	/** Consecutive relayed calls that did not reach the store. */
+	let failedRelayedCalls = 0;
+	let relaysPausedUntil = Number.NEGATIVE_INFINITY;
+	// The preferred relay comes first; relays that failed come last, those whose failure is oldest before the others.
+	const computeRelayRank = (address: string): number => address === preferredRelay ? Number.NEGATIVE_INFINITY : relayFailureTimes.get(address) ?? -1;
 
 	return {
+		/** Returns whether the direct path works. */
 		isUp: () => isUp,
 
-		/** True if the direct way is up, or if it is this call's turn to look whether it is. */
-		claimTry(): boolean {
-			const isDue = clock.now() - triedAt >= probeEvery;
+		/** Returns whether to send this call directly: the path is up, or a probe is due and this call serves as the probe. */
+		admitCall(): boolean {
+			const isDue = clock.now() - lastProbeAt >= probeIntervalMs;
 			if (!isUp && isDue) {
-				triedAt = clock.now();
+				lastProbeAt = clock.now();
 			}
 
 			return isUp || isDue;
 		},
 
-		note(nowUp: boolean): void {
-			if (isUp !== nowUp) {
-				events.write(nowUp ? 'storePathBack' : 'storePathLost');
-				triedAt = clock.now();
+		/** Records whether the direct path works. */
+		recordState(isNowUp: boolean): void {
+			if (isUp !== isNowUp) {
+				events.write(isNowUp ? 'storePathBack' : 'storePathLost');
+				lastProbeAt = clock.now();
 			}
 
-			isUp = nowUp;
+			isUp = isNowUp;
 		},
 
-		/** The relays to ask in one call, in order; none for a while after calls that reached the store through none. */
-		rankRelays: (addresses: readonly string[]): string[] => clock.now() < restsUntil
+		/** Returns the relays to try for one call, in order; none while relays are paused after repeated failures. */
+		selectRelays: (addresses: readonly string[]): string[] => clock.now() < relaysPausedUntil
 			? []
-			: [...addresses].sort((left, right) => rankRelay(left) - rankRelay(right)).slice(0, relaysTried),
+			: [...addresses].sort((left, right) => computeRelayRank(left) - computeRelayRank(right)).slice(0, maxRelaysPerCall),
 
-		/** Notes whether a call reached the store through any relay. */
-		noteRelayed(hasReached: boolean): void {
-			lostCalls = hasReached ? 0 : lostCalls + 1;
-			if (lostCalls > lostCallsBorne) {
-				restsUntil = clock.now() + Math.min(restLimit, restStep * (2 ** (lostCalls - lostCallsBorne - 1)));
+		/** Records whether a call reached the store through any relay. */
+		recordRelayedCall(hasReachedStore: boolean): void {
+			failedRelayedCalls = hasReachedStore ? 0 : failedRelayedCalls + 1;
+			if (failedRelayedCalls > maxFailedRelayedCalls) {
+				relaysPausedUntil = clock.now() + Math.min(maxRelayPauseMs, initialRelayPauseMs * (2 ** (failedRelayedCalls - maxFailedRelayedCalls - 1)));
 			}
 		},
-		noteRelay(address: string): void {
-			if (address !== lastRelay) {
+
+		/** Makes a relay that reached the store the preferred one. */
+		recordRelaySuccess(address: string): void {
+			if (address !== preferredRelay) {
 				events.write('relayChosen', {relay: address});
 			}
 
-			lastRelay = address;
-			lostRelays.delete(address);
+			preferredRelay = address;
+			relayFailureTimes.delete(address);
 		},
 
-		/** Notes that a relay did not reach the store: it may have died, and others must get their turn. */
-		noteRelayLost(address: string): void {
-			lostRelays.set(address, clock.now());
-			lastRelay = address === lastRelay ? '' : lastRelay;
+		/** Records that a relay did not reach the store, so that other relays are tried before it. */
+		recordRelayFailure(address: string): void {
+			relayFailureTimes.set(address, clock.now());
+			preferredRelay = address === preferredRelay ? '' : preferredRelay;
 		},
 	};
 }
 
-/** One kind of call, for any way to the log. */
+/** A call to the log that can be sent on any path. */
 type StoreCall<Value> = {
 	readonly run: (log: KeyedLog) => Promise<Value>;
-	/** True when the value shows that the store was reached. */
-	readonly hasReached: (value: Value) => boolean;
-	/** Milliseconds for which the store may hold the answer back. */
-	readonly wait?: number;
+	/** Returns whether the value shows that the call reached the store. */
+	readonly hasReachedStore: (value: Value) => boolean;
+	/** How long the store may delay its answer to wait for a new record. */
+	readonly longPollMs?: number;
 };
 
-/** @internal Resolves with the first value that shows the store was reached, else with the first call's. */
-async function takeFirstReached<Value>(calls: ReadonlyArray<Promise<Value>>, hasReached: (value: Value) => boolean): Promise<Value> {
-	const reached = calls.map(async call => {
+/** @internal Resolves with the first value that shows that the store was reached, else with that of the first call. */
+async function resolveFirstReached<Value>(calls: ReadonlyArray<Promise<Value>>, hasReachedStore: (value: Value) => boolean): Promise<Value> {
+	const attempts = calls.map(async call => {
 		const value = await call;
-		if (!hasReached(value)) {
-			throw new Error('The store was not reached this way');
+		if (!hasReachedStore(value)) {
+			throw new Error('The call did not reach the store on this path');
 		}
 
 		return value;
 	});
 	try {
-		return await Promise.any(reached);
+		return await Promise.any(attempts);
 	} catch {
-		// None reached it: the value of the first call says why.
+		// No call reached the store; the value of the first one tells why.
 		return calls[0]!;
 	}
 }
 
 /**
- * Creates a log that goes through other daemons when the direct way fails or
- * is slow.
+ * Creates a log that sends its calls through other daemons when the direct path
+ * fails or is slow.
  *
  * @example
  * ```ts
  * const log = createRelayedLog({direct, path, clock, listRelays: () => ['10.0.0.7:7340'], openThrough});
  * ```
  *
- * @param options The direct log and the other daemons
+ * @param options The direct log and the relays
  * @returns The log
  */
 export function createRelayedLog(options: CreateRelayedLogOptions): KeyedLog {
 	const {direct, path, clock} = options;
 
-	async function callDirect<Value>({run, hasReached}: StoreCall<Value>): Promise<Value> {
+	async function callDirect<Value>({run, hasReachedStore}: StoreCall<Value>): Promise<Value> {
 		const value = await run(direct);
-		path.note(hasReached(value));
+		path.recordState(hasReachedStore(value));
 		return value;
 	}
 
-	async function callRelay<Value>(relay: string, {run, hasReached}: StoreCall<Value>): Promise<Value> {
+	async function callRelay<Value>(relay: string, {run, hasReachedStore}: StoreCall<Value>): Promise<Value> {
 		const value = await run(options.openThrough(relay));
-		if (hasReached(value)) {
-			path.noteRelay(relay);
+		if (hasReachedStore(value)) {
+			path.recordRelaySuccess(relay);
 		} else {
-			path.noteRelayLost(relay);
+			path.recordRelayFailure(relay);
 		}
 
 		return value;
 	}
 
-	// Asks one relay after the other, the next one beside a relay that keeps silent: its host may be dead, and a gateway
-	// that waited for three such calls in turn would learn seconds late what the store says. Resolves with the value of the
-	// first relay when none reached the store, and with undefined when there is none.
+	// Tries the relays in order, and sends the call to the next one as well while the earlier ones have not answered. The
+	// host of a relay may be dead, and three timeouts in sequence would delay the answer by seconds. Resolves with the
+	// value of the first relay if no relay reached the store, and with undefined if there is no relay.
 	async function callRelays<Value>(call: StoreCall<Value>): Promise<Value | undefined> {
 		const calls: Array<Promise<Value>> = [];
-		for (const relay of path.rankRelays(options.listRelays())) {
+		for (const relay of path.selectRelays(options.listRelays())) {
 			calls.push(callRelay(relay, call));
-			const early = await waitAtMost(takeFirstReached(calls, call.hasReached), {clock, span: relayPatience + (call.wait ?? 0)});
-			if (early !== undefined && call.hasReached(early)) {
-				path.noteRelayed(true);
-				return early;
+			const earlyValue = await waitAtMost(resolveFirstReached(calls, call.hasReachedStore), {clock, span: relayHedgeDelayMs + (call.longPollMs ?? 0)});
+			if (earlyValue !== undefined && call.hasReachedStore(earlyValue)) {
+				path.recordRelayedCall(true);
+				return earlyValue;
 			}
 		}
 
@@ -204,63 +209,64 @@
 			return undefined;
 		}
 
-		const value = await takeFirstReached(calls, call.hasReached);
-		path.noteRelayed(call.hasReached(value));
+		const value = await resolveFirstReached(calls, call.hasReachedStore);
+		path.recordRelayedCall(call.hasReachedStore(value));
 		return value;
 	}
 
-	// Goes through relays beside a direct call that has not ended. The direct way counts as lost if a relay is faster.
-	async function joinRelays<Value>(call: StoreCall<Value>, pending: Promise<Value>): Promise<Value> {
+	// Sends the call through relays while a direct call is pending or after it failed. If a relay reaches the store before
+	// the direct call ends, the direct path counts as down.
+	async function hedgeWithRelays<Value>(call: StoreCall<Value>, pending: Promise<Value>): Promise<Value> {
 		let isDirectDone = false;
-		const throughDirect = (async () => {
+		const directCall = (async () => {
 			const value = await pending;
 			isDirectDone = true;
 			return value;
 		})();
-		const throughRelays = (async () => {
+		const relayedCall = (async () => {
 			const value = await callRelays(call);
-			if (value !== undefined && call.hasReached(value) && !isDirectDone) {
-				path.note(false);
+			if (value !== undefined && call.hasReachedStore(value) && !isDirectDone) {
+				path.recordState(false);
 			}
 
 			return value ?? pending;
 		})();
-		return takeFirstReached([throughDirect, throughRelays], call.hasReached);
+		return resolveFirstReached([directCall, relayedCall], call.hasReachedStore);
 	}
 
-	// Goes directly beside calls through relays that have not reached the store.
-	async function joinDirect<Value>(call: StoreCall<Value>, pending: Promise<Value | undefined>): Promise<Value> {
-		const throughDirect = callDirect(call);
-		const throughRelays = (async () => await pending ?? throughDirect)();
-		return takeFirstReached([throughDirect, throughRelays], call.hasReached);
+	// Sends the call directly while relayed calls are pending or after they failed.
+	async function hedgeWithDirect<Value>(call: StoreCall<Value>, pending: Promise<Value | undefined>): Promise<Value> {
+		const directCall = callDirect(call);
+		const relayedCall = (async () => await pending ?? directCall)();
+		return resolveFirstReached([directCall, relayedCall], call.hasReachedStore);
 	}
 
 	async function callStore<Value>(call: StoreCall<Value>): Promise<Value> {
-		const patience = hedgeAfter + (call.wait ?? 0);
-		const wasUp = path.isUp();
-		if (!path.claimTry()) {
+		const maxWaitMs = hedgeDelayMs + (call.longPollMs ?? 0);
+		const wasDirectUp = path.isUp();
+		if (!path.admitCall()) {
 			const pending = callRelays(call);
-			const early = await waitAtMost(pending, {clock, span: patience});
-			return early !== undefined && call.hasReached(early) ? early : joinDirect(call, pending);
+			const earlyValue = await waitAtMost(pending, {clock, span: maxWaitMs});
+			return earlyValue !== undefined && call.hasReachedStore(earlyValue) ? earlyValue : hedgeWithDirect(call, pending);
 		}
 
 		const pending = callDirect(call);
-		// A look at whether the direct way works again is not waited for.
-		const early = await waitAtMost(pending, {clock, span: wasUp ? patience : 0});
-		return early !== undefined && call.hasReached(early) ? early : joinRelays(call, pending);
+		// A probe of a direct path that is down does not delay the call.
+		const earlyValue = await waitAtMost(pending, {clock, span: wasDirectUp ? maxWaitMs : 0});
+		return earlyValue !== undefined && call.hasReachedStore(earlyValue) ? earlyValue : hedgeWithRelays(call, pending);
 	}
 
 	return {
 		name: direct.name,
-		readNewest: async () => callStore<Result<NewestRecords, Failure>>({run: async log => log.readNewest(), hasReached: result => result.ok}),
+		readNewest: async () => callStore<Result<NewestRecords, Failure>>({run: async log => log.readNewest(), hasReachedStore: result => result.ok}),
 		read: async (from, readOptions) => callStore({
 			run: async log => log.read(from, readOptions),
-			hasReached: result => result.ok || result.val.kind === 'gone' || readOptions.signal.aborted,
-			wait: readOptions.wait,
+			hasReachedStore: result => result.ok || result.val.kind === 'gone' || readOptions.signal.aborted,
+			longPollMs: readOptions.wait,
 		}),
-		// Only an append under a condition may be sent a second way: a copy of one without it would stand twice.
+		// Only a conditional append may be sent on two paths; an unconditional one could take effect twice.
 		append: async (record, appendOptions) => appendOptions.at === undefined
 			? direct.append(record, appendOptions)
-			: callStore<AppendOutcome>({run: async log => log.append(record, appendOptions), hasReached: outcome => outcome.kind === 'appended' || outcome.kind === 'behind'}),
+			: callStore<AppendOutcome>({run: async log => log.append(record, appendOptions), hasReachedStore: outcome => outcome.kind === 'appended' || outcome.kind === 'behind'}),
 	};
 }
--- a/src/coordination/snapshotter.ts
+++ b/src/coordination/snapshotter.ts
@@ -1,5 +1,6 @@
 /**
- * Appends snapshots to the log well before its retention drops what they hold.
+ * Appends snapshots to the log well before its retention drops the records that
+ * they contain.
  *
  * @module
  */
@@ -9,40 +10,42 @@
 import type {Membership} from './membership.js';
 import {rankByRendezvous} from './rendezvous.js';
 
-/** Options of {@linkcode createSnapshotter}. */
-export type CreateSnapshotterOptions = {
+/** Options of {@linkcode startSnapshotter}. */
+export type StartSnapshotterOptions = {
 	readonly follower: LogFollower;
 	readonly writer: LogWriter;
 	readonly membership: Membership;
 	readonly events: EventLog;
-	/** Records between two snapshots. */
+	/** Number of records between two snapshots. */
 	readonly every: number;
 };
 
-const rankFactor = 0.5;
+/** Delay per rank, as a share of the number of records between two snapshots. */
+const rankDelayFactor = 0.5;
 
 /**
  * Starts appending snapshots as records are folded.
  *
- * Any daemon may append one, and a second copy is harmless: the first live
- * entry in the order does it at the bound, each further one half a bound later.
+ * Any daemon may append a snapshot, and duplicates are harmless. Live entry daemons
+ * are ranked: the first appends a snapshot after the configured number of records,
+ * each further one half that number later, unless a snapshot was recorded by then.
  *
  * @example
  * ```ts
  * const stop = startSnapshotter({follower, writer, membership, events, every: 2000});
  * ```
  *
- * @param options Log and peers
- * @returns Stops it
+ * @param options The log and the peers
+ * @returns A function that stops appending snapshots
  */
-export function startSnapshotter(options: CreateSnapshotterOptions): () => void {
+export function startSnapshotter(options: StartSnapshotterOptions): () => void {
 	const {follower, writer, membership, events, every} = options;
-	let since = 0;
+	let recordsSinceSnapshot = 0;
 
-	function computeBound(): number {
+	function computeThreshold(): number {
 		const live = membership.listLiveEntries(follower.state().placement.list()).map(member => member.daemon);
 		const rank = rankByRendezvous('snapshot', [...live, membership.self.id]).indexOf(membership.self.id);
-		return every * (1 + (rank * rankFactor));
+		return every * (1 + (rank * rankDelayFactor));
 	}
 
 	async function appendSnapshot(): Promise<void> {
@@ -54,9 +57,9 @@
 	}
 
 	return follower.events.on('folded', ({data}) => {
-		since = data.kind === 'snapshot' ? 0 : since + 1;
-		if (since >= computeBound()) {
-			since = 0;
+		recordsSinceSnapshot = data.kind === 'snapshot' ? 0 : recordsSinceSnapshot + 1;
+		if (recordsSinceSnapshot >= computeThreshold()) {
+			recordsSinceSnapshot = 0;
 			void appendSnapshot();
 		}
 	});
