--- a/src/coordination/attempt-runner.ts
+++ b/src/coordination/attempt-runner.ts
@@ -1,6 +1,7 @@
 /**
- * One sending of a request to one upstream daemon: reserves tokens, checks the
- * frames, resumes a lost stream, and hands what stays unknown to the settler.
+ * Runs one attempt of a request at one upstream daemon: reserves tokens, checks
+ * the frames, resumes a broken stream, and hands attempts whose cost is unknown
+ * to the settler.
  *
  * @module
  */
@@ -15,54 +16,56 @@
 import type {GrantKeeper} from './grant-keeper.js';
 import type {LogFollower} from './log-follower.js';
 import type {Membership} from './membership.js';
-import type {RouteBook} from './route-book.js';
+import type {RouteRegistry} from './route-book.js';
 import type {Settler} from './settler.js';
 
-/** A caller's request, checked and ready to be sent. */
+/** A validated request of a caller, ready to be sent. */
 export type RoutedCall = {
 	readonly requestId: string;
-	/** True when the caller named an idempotency key and may ask again through another entry. */
+	/** True if the caller gave an idempotency key and may retry through another entry daemon. */
 	readonly isKeyed: boolean;
 	readonly work: Work;
-	/** The model or service. */
+	/** Name of the model or service. */
 	readonly target: string;
-	/** True when two runs do no harm but cost. */
+	/** True if a second run does no harm beyond its cost. */
 	readonly mayRepeat: boolean;
 	readonly budget: string;
-	/** Worst case, in tokens. */
+	/** Highest possible cost, in tokens. */
 	readonly worstCase: number;
 	readonly priority: number;
 	readonly payload: Uint8Array;
-	/** Digest of the prompt's beginning. */
+	/** Digest of the beginning of the prompt. */
 	readonly prefix: string;
-	/** Clock at which the caller's deadline passes. */
+	/** Clock time of the caller's deadline, in milliseconds. */
 	readonly deadline: number;
-	/** Longest wait for tokens, in milliseconds. */
+	/** Timeout for reserving tokens, in milliseconds. */
 	readonly patience: number;
-	/** Aborted when the caller has left. */
+	/** Aborted when the caller disconnects. */
 	readonly signal: AbortSignal;
-	/** Throws away the chunks yielded so far; undefined when the caller has seen them already. */
+	/** Discards the chunks yielded so far; undefined if chunks are passed on to the caller as they arrive. */
 	readonly restart?: () => void;
 };
 
-/** How one attempt ended. */
+/** How one attempt ended. The outcome of a `lost` attempt's run is unknown until the settler has queried it. */
 export type AttemptOutcome =
 	| {readonly kind: 'done'; readonly end: AnswerEnd}
 	| {readonly kind: 'refused'; readonly failure: Failure}
 	| {readonly kind: 'lost'; readonly failure: Failure};
 
-/** One sending of a request. */
+/** One attempt to run a request at an upstream daemon. */
 export type Attempt = {
 	readonly call: RoutedCall;
 	readonly member: Readonly<Member>;
-	/** Empty for an attempt that only attaches to an earlier run. */
+	/** Holds no tokens if the attempt may only attach to an earlier run. */
 	readonly reservation: Reservation;
 	readonly isAttachOnly: boolean;
 	readonly number: number;
-	/** The next chunk wanted. */
-	next: number;
+	/** Sequence number of the next chunk. */
+	nextSequence: number;
+	/** SHA-256 over the chunks received so far. */
 	readonly hash: ReturnType<typeof createHash>;
-	length: number;
+	/** Total length of the chunks received so far, in bytes. */
+	byteLength: number;
 	readonly startedAt: number;
 };
 
@@ -73,19 +76,19 @@
 	readonly fleet: FleetClient;
 	readonly keeper: GrantKeeper;
 	readonly settler: Settler;
-	readonly book: RouteBook;
+	readonly book: RouteRegistry;
 	readonly clock: Clock;
 	readonly events: EventLog;
-	/** How long a lost stream is tried to be resumed, in milliseconds. */
+	/** Longest time without a new chunk during which a broken stream is resumed, in milliseconds. */
 	readonly resumeWithin: number;
 };
 
-/** Sends requests to upstream daemons. */
+/** Runs attempts at upstream daemons. */
 export type AttemptRunner = ReturnType<typeof createAttemptRunner>;
 
-const silenceBound = 3000;
-const resumePause = 100;
-const attemptLimit = 2 ** 31;
+const responseTimeoutMs = 3000;
+const resumeDelayMs = 100;
+const attemptNumberLimit = 2 ** 31;
 const retryAfterMs = 1000;
 
 /** @internal */
@@ -99,40 +102,40 @@
 }
 
 /** @internal */
-function listBilled(done: Done, attempt: Attempt): GrantShare[] {
-	// Billed to the attempt that started the run; an attached one's own reservation comes back whole.
+function listBilledShares(done: Done, attempt: Attempt): GrantShare[] {
+	// The run is billed to the attempt that started it. An attached attempt gets its whole reservation back.
 	return done.billedAttempt === attempt.number ? done.billed.map(({grant, amount}) => ({grant, amount})) : [];
 }
 
 /**
- * Tells whether an attempt that only attaches found no earlier run.
+ * Returns whether an attach-only attempt found no earlier run.
  *
  * @example
  * ```ts
- * isNothingFound({kind: 'refused', failure: createFailure('unknown-object', 'No such request')}); // true
+ * isRunNotFound({kind: 'refused', failure: createFailure('unknown-object', 'No such request')}); // true
  * ```
  *
- * @param outcome How the attempt ended
- * @returns True when the request may be started there
+ * @param outcome The outcome of the attempt
+ * @returns True if the request may be started at that upstream daemon
  */
-export function isNothingFound(outcome: AttemptOutcome): boolean {
+export function isRunNotFound(outcome: AttemptOutcome): boolean {
 	return outcome.kind === 'refused' && outcome.failure.type === 'unknown-object';
 }
 
 /**
- * Creates the runner of an entry daemon.
+ * Creates the attempt runner of an entry daemon.
  *
  * @example
  * ```ts
  * const attempt = await attempts.start(call, member);
  * ```
  *
- * @param options Log, peers and grants
- * @returns The runner
+ * @param options Log, peers, grants and timeouts
+ * @returns The attempt runner
  */
 export function createAttemptRunner(options: CreateAttemptRunnerOptions) {
 	const {
-		follower, membership, fleet, keeper, settler, book, clock, events,
+		follower, membership, fleet, keeper: grants, settler, book: routes, clock, events,
 	} = options;
 
 	function isCurrent(member: Readonly<Member>): boolean {
@@ -153,27 +156,27 @@
 			priority: call.priority,
 			payload: call.payload,
 			payloadDigest: computeDigest(call.payload),
-			fromSequence: attempt.next,
+			fromSequence: attempt.nextSequence,
 			from: membership.self.id,
 			knownOffset: follower.state().next(),
 			attachOnly: attempt.isAttachOnly,
 		}, {signal});
 	}
 
-	function isWanted(attempt: Attempt, frame: RunFrame): boolean {
-		const isWantedHere = isWantedFrame(frame, {requestId: attempt.call.requestId, attempt: attempt.number, sequence: attempt.next});
-		if (!isWantedHere) {
-			events.write('frameDropped', {request: attempt.call.requestId, sequence: frame.sequence, expected: attempt.next});
+	function checkFrame(attempt: Attempt, frame: RunFrame): boolean {
+		const isExpected = isWantedFrame(frame, {requestId: attempt.call.requestId, attempt: attempt.number, sequence: attempt.nextSequence});
+		if (!isExpected) {
+			events.write('frameDropped', {request: attempt.call.requestId, sequence: frame.sequence, expected: attempt.nextSequence});
 		}
 
-		return isWantedHere;
+		return isExpected;
 	}
 
-	function takeDone(attempt: Attempt, done: Done): AttemptOutcome {
+	function handleDone(attempt: Attempt, done: Done): AttemptOutcome {
 		const digest = attempt.hash.copy().digest('hex');
-		keeper.settle(attempt.reservation, listBilled(done, attempt));
-		if (!isWholeAnswer(done, {chunks: attempt.next, length: attempt.length, digest})) {
-			return {kind: 'refused', failure: createFailure('answer-cut', `The answer has ${attempt.next} of ${done.chunks} chunks or another digest`, {ran: 'yes', retryAfterMs})};
+		grants.settle(attempt.reservation, listBilledShares(done, attempt));
+		if (!isWholeAnswer(done, {chunks: attempt.nextSequence, length: attempt.byteLength, digest})) {
+			return {kind: 'refused', failure: createFailure('answer-cut', `The answer is incomplete or corrupted: got ${attempt.nextSequence} of ${done.chunks} chunks`, {ran: 'yes', retryAfterMs})};
 		}
 
 		return {
@@ -185,64 +188,64 @@
 		};
 	}
 
-	// Reads one connection until the answer ended, or returns undefined when it broke or fell silent.
+	// Reads one connection until the attempt ends. Returns undefined if the connection breaks or becomes unresponsive.
 	async function * readConnection(attempt: Attempt): AsyncGenerator<Uint8Array, AttemptOutcome | undefined> {
 		const {call} = attempt;
-		const silence = new AbortController();
-		const bound = createBound(call.deadline - clock.now(), [silence.signal, call.signal]);
+		const unresponsive = new AbortController();
+		const timeout = createBound(call.deadline - clock.now(), [unresponsive.signal, call.signal]);
 		let timer = setTimeout(() => {
-			silence.abort();
-		}, silenceBound);
+			unresponsive.abort();
+		}, responseTimeoutMs);
 		try {
-			for await (const frame of openStream(attempt, bound.signal)) {
+			for await (const frame of openStream(attempt, timeout.signal)) {
 				clearTimeout(timer);
 				timer = setTimeout(() => {
-					silence.abort();
-				}, silenceBound);
-				if (!isWanted(attempt, frame)) {
+					unresponsive.abort();
+				}, responseTimeoutMs);
+				if (!checkFrame(attempt, frame)) {
 					continue;
 				}
 
 				const {body} = frame;
 				if (body.case === 'refused') {
-					keeper.settle(attempt.reservation, []);
+					grants.settle(attempt.reservation, []);
 					return {kind: 'refused', failure: readRefusal(body.value)};
 				}
 
 				if (body.case === 'done') {
-					return takeDone(attempt, body.value);
+					return handleDone(attempt, body.value);
 				}
 
 				if (body.case === 'chunk') {
-					if (attempt.next === 0) {
-						book.noteFirst(attempt.member.daemon, clock.now() - attempt.startedAt);
+					if (attempt.nextSequence === 0) {
+						routes.recordFirstChunk(attempt.member.daemon, clock.now() - attempt.startedAt);
 					}
 
-					attempt.next += 1;
-					attempt.length += body.value.length;
+					attempt.nextSequence += 1;
+					attempt.byteLength += body.value.length;
 					attempt.hash.update(body.value);
 					yield body.value;
 				}
 			}
 		} catch {
-			// The connection broke; the caller of this function resumes or gives up.
+			// The connection broke; `runAttempt` resumes the stream or gives up.
 		} finally {
 			clearTimeout(timer);
-			bound.clear();
+			timeout.clear();
 		}
 
 		return undefined;
 	}
 
-	// A silent connection is abandoned: others may work, and the next call opens one.
-	function noteBroken(attempt: Attempt): void {
+	// Drops the connection even if it is only unresponsive: a new one, opened by the next call, may work.
+	function abandonConnection(attempt: Attempt): void {
 		fleet.connect(attempt.member.address).abandon();
 		events.write('streamResumed', {
-			request: attempt.call.requestId, hop: 'upstream daemon', upstream: attempt.member.daemon, next: attempt.next,
+			request: attempt.call.requestId, hop: 'upstream daemon', upstream: attempt.member.daemon, next: attempt.nextSequence,
 		});
 	}
 
-	function loseAttempt(attempt: Attempt): AttemptOutcome {
+	function giveUpAttempt(attempt: Attempt): AttemptOutcome {
 		const {call, member, reservation, number} = attempt;
 		settler.add({
 			requestId: call.requestId, attempt: number, reservation, daemon: member.daemon, incarnation: member.incarnation,
@@ -251,23 +254,25 @@
 			void cancelUpstream(attempt);
 		}
 
-		events.write('upstreamLost', {request: call.requestId, upstream: member.daemon, chunks: attempt.next});
-		const isCut = attempt.next > 0;
+		events.write('upstreamLost', {request: call.requestId, upstream: member.daemon, chunks: attempt.nextSequence});
+		const isCut = attempt.nextSequence > 0;
 		if (clock.now() >= call.deadline) {
-			return {kind: 'lost', failure: createFailure('deadline-passed', `The deadline passed after ${attempt.next} chunks`, {ran: isCut ? 'yes' : 'unknown'})};
+			return {kind: 'lost', failure: createFailure('deadline-passed', `The deadline passed after ${attempt.nextSequence} chunks`, {ran: isCut ? 'yes' : 'unknown'})};
 		}
 
 		return {
 			kind: 'lost',
-			failure: createFailure(isCut ? 'answer-cut' : 'no-upstream', `Upstream daemon "${member.daemon}" was lost after ${attempt.next} chunks`, {ran: isCut ? 'yes' : 'unknown', retryAfterMs}),
+			failure: createFailure(isCut ? 'answer-cut' : 'no-upstream', `Upstream daemon "${member.daemon}" stopped responding after ${attempt.nextSequence} chunks`, {
+				ran: isCut ? 'yes' : 'unknown', retryAfterMs,
+			}),
 		};
 	}
 
 	async function cancelUpstream({call, member, number}: Attempt): Promise<void> {
 		try {
-			await fleet.connect(member.address).upstream.cancel({requestId: call.requestId, attempt: number}, {timeoutMs: silenceBound});
+			await fleet.connect(member.address).upstream.cancel({requestId: call.requestId, attempt: number}, {timeoutMs: responseTimeoutMs});
 		} catch {
-			// The settler asks again what it cost.
+			// The settler queries the attempt's cost in any case.
 		}
 	}
 
@@ -275,27 +280,28 @@
 		const {call, member} = attempt;
 		let brokenAt: number | undefined;
 		for (;;) {
-			const before = attempt.next;
+			const previousSequence = attempt.nextSequence;
 			const outcome = yield * readConnection(attempt);
 			if (outcome) {
 				return outcome;
 			}
 
-			brokenAt = attempt.next > before ? clock.now() : brokenAt ?? clock.now();
-			const isOver = clock.now() >= call.deadline || clock.now() - brokenAt > options.resumeWithin;
-			// A keyed request may be running there, and a run elsewhere would be a second one: it is given the whole bound.
-			const mayMove = call.mayRepeat && !call.isKeyed && attempt.next === 0 && !membership.isAlive(member.daemon);
-			if (call.signal.aborted || isOver || mayMove || !isCurrent(member)) {
-				return loseAttempt(attempt);
+			brokenAt = attempt.nextSequence > previousSequence ? clock.now() : brokenAt ?? clock.now();
+			const isTimedOut = clock.now() >= call.deadline || clock.now() - brokenAt > options.resumeWithin;
+			// A request with an idempotency key may still be running there, and moving it would start a second run. It is
+			// therefore resumed until the timeout.
+			const mayMove = call.mayRepeat && !call.isKeyed && attempt.nextSequence === 0 && !membership.isAlive(member.daemon);
+			if (call.signal.aborted || isTimedOut || mayMove || !isCurrent(member)) {
+				return giveUpAttempt(attempt);
 			}
 
-			noteBroken(attempt);
-			await clock.sleep(resumePause, call.signal);
+			abandonConnection(attempt);
+			await clock.sleep(resumeDelayMs, call.signal);
 		}
 	}
 
-	async function startAttempt(call: RoutedCall, member: Readonly<Member>, patience = call.patience): Promise<Result<Attempt, Failure>> {
-		const reserved = await keeper.acquire(call.budget, call.worstCase, {patience: Math.min(patience, call.deadline - clock.now()), signal: call.signal});
+	async function startAttempt(call: RoutedCall, member: Readonly<Member>, tokenTimeoutMs = call.patience): Promise<Result<Attempt, Failure>> {
+		const reserved = await grants.acquire(call.budget, call.worstCase, {patience: Math.min(tokenTimeoutMs, call.deadline - clock.now()), signal: call.signal});
 		if (reserved.err) {
 			return reserved;
 		}
@@ -303,8 +309,9 @@
 		return Ok(createAttempt(call, member, {reservation: reserved.val, isAttachOnly: false}));
 	}
 
-	// What has run has been paid for: reserving its worst case again would refuse the answer once the budget is used up.
-	function attachToRun(call: RoutedCall, member: Readonly<Member>): Attempt | undefined {
+	// Reserves nothing, because an earlier run has already been paid for. Reserving its worst case again would withhold the
+	// answer once the budget is used up.
+	function createAttachAttempt(call: RoutedCall, member: Readonly<Member>): Attempt | undefined {
 		if (!call.isKeyed) {
 			return undefined;
 		}
@@ -319,17 +326,17 @@
 
 	function createAttempt(call: RoutedCall, member: Readonly<Member>, {reservation, isAttachOnly}: Pick<Attempt, 'reservation' | 'isAttachOnly'>): Attempt {
 		return {
-			call, member, reservation, isAttachOnly, number: randomInt(1, attemptLimit), next: 0,
-			hash: createHash('sha256'), length: 0, startedAt: clock.now(),
+			call, member, reservation, isAttachOnly, number: randomInt(1, attemptNumberLimit), nextSequence: 0,
+			hash: createHash('sha256'), byteLength: 0, startedAt: clock.now(),
 		};
 	}
 
 	return {
-		/** Reserves tokens for one sending; the patience is the call's unless it is given, in milliseconds. */
+		/** Reserves tokens for one attempt and creates it; the timeout for the tokens is the call's unless it is given. */
 		start: startAttempt,
-		/** Begins a sending without tokens, which finds an earlier run or nothing; undefined for a call without a key. */
-		attach: attachToRun,
-		/** Sends; yields the answer's chunks and returns how it ended. */
+		/** Creates an attempt without tokens that can only attach to an earlier run; undefined if the call has no idempotency key. */
+		attach: createAttachAttempt,
+		/** Runs the attempt; yields the chunks of the answer and returns the outcome. */
 		run: runAttempt,
 	};
 }
--- a/src/coordination/frame-check.ts
+++ b/src/coordination/frame-check.ts
@@ -1,32 +1,34 @@
 /**
- * Checks on the frames of an answer.
+ * Checks of the frames of an answer.
  *
  * @module
  */
 import type {Done, RunFrame} from '../protocol/mod.js';
 
-/** What a connection waits for. */
+/** The frame that a connection expects next. */
 export type ExpectedFrame = {
 	readonly requestId: string;
 	readonly attempt: number;
-	/** The next chunk's sequence. */
+	/** Sequence number of the next chunk. */
 	readonly sequence: number;
 };
 
-/** What was received of an answer. */
+/** Totals over the received chunks of an answer. */
 export type ReceivedAnswer = {
 	readonly chunks: number;
+	/** Total length of the chunks, in bytes. */
 	readonly length: number;
-	/** Hex SHA-256 over all chunks. */
+	/** Hexadecimal SHA-256 over all chunks. */
 	readonly digest: string;
 };
 
 /**
- * Tells whether a frame belongs to the answer that is waited for.
+ * Returns whether a frame belongs to the expected answer and is next in order.
  *
- * Answers can come late or crossed: a frame of another request, of an attempt
- * that was given up on, or out of its order would put someone else's text into
- * this answer. Each frame names all three, so none of them passes.
+ * Frames can arrive late or on the wrong stream. A frame of another request, of
+ * an abandoned attempt, or out of sequence would put wrong text into this
+ * answer. Each frame carries the request, the attempt and its sequence number,
+ * and all three are checked.
  *
  * @example
  * ```ts
@@ -34,19 +36,19 @@
  * ```
  *
  * @param frame The frame
- * @param expected What is waited for
- * @returns False when the frame must be dropped
+ * @param expected The frame that is expected next
+ * @returns False if the frame must be dropped
  */
 export function isWantedFrame(frame: RunFrame, expected: ExpectedFrame): boolean {
-	const isOwn = frame.requestId === expected.requestId && frame.attempt === expected.attempt;
-	return isOwn && (frame.body.case !== 'chunk' || frame.sequence === expected.sequence);
+	const isSameAttempt = frame.requestId === expected.requestId && frame.attempt === expected.attempt;
+	return isSameAttempt && (frame.body.case !== 'chunk' || frame.sequence === expected.sequence);
 }
 
 /**
- * Tells whether an answer is whole.
+ * Returns whether an answer is complete.
  *
- * A dropped or truncated frame shows in the count, the length or the digest
- * that the last frame carries.
+ * A dropped or truncated frame causes a mismatch with the chunk count, length
+ * or digest in the last frame.
  *
  * @example
  * ```ts
@@ -54,8 +56,8 @@
  * ```
  *
  * @param done The last frame
- * @param received What was received
- * @returns True when nothing is missing or changed
+ * @param received Totals over the received chunks
+ * @returns True if no chunk is missing or altered
  */
 export function isWholeAnswer(done: Done, received: ReceivedAnswer): boolean {
 	return done.chunks === received.chunks && done.length === received.length && done.digest === received.digest;
--- a/src/coordination/loan-desk.test.ts
+++ b/src/coordination/loan-desk.test.ts
@@ -8,19 +8,19 @@
 const events: EventLog = {write: () => undefined, counts: new Map()};
 const budget = 'city-budget';
 
-/** An entry beside one that lends it 400 tokens. */
-function createWorld() {
+/** Creates the loan manager of an entry daemon, and a peer that lends it 400 tokens. */
+function createFixture() {
 	const time = createVirtualTime();
 	const holder = createGrantHolder();
 	const lender = {daemon: 'entry-1', address: 'entry-1:1'} as unknown as Member;
 	const repaid: string[] = [];
 	let members = [lender];
-	let answers = true;
-	let asks = 0;
+	let isResponding = true;
+	let borrowCalls = 0;
 	const peer = {
 		async borrow() {
-			asks += 1;
-			if (!answers) {
+			borrowCalls += 1;
+			if (!isResponding) {
 				throw new Error('The lender does not answer');
 			}
 
@@ -45,16 +45,16 @@
 	}
 
 	return {
-		time, holder, loans, runRounds, countRepaid: () => repaid.length, countAsks: () => asks,
-		setLender(state: {readonly answers: boolean; readonly isMember: boolean}) {
-			answers = state.answers;
+		time, holder, loans, runRounds, countRepaid: () => repaid.length, countBorrowCalls: () => borrowCalls,
+		setLender(state: {readonly isResponding: boolean; readonly isMember: boolean}) {
+			isResponding = state.isResponding;
 			members = state.isMember ? [lender] : [];
 		},
 	};
 }
 
-test('a loan that no request uses for three seconds is repaid', async () => {
-	const {holder, loans, runRounds, countRepaid} = createWorld();
+test('a loan is repaid after three seconds without a request that uses it', async () => {
+	const {holder, loans, runRounds, countRepaid} = createFixture();
 	await loans.borrow(budget, 100);
 	await runRounds(2500);
 	expect(countRepaid()).toBe(0);
@@ -62,11 +62,12 @@
 	expect([countRepaid(), holder.countFree(budget)]).toEqual([1, 0]);
 });
 
-// Guards against an entry that stood still and refuses its callers, as it gives its tokens back before it looks at them.
-test('a loan is not idle while the entry stands still', async () => {
+// Guards against an entry daemon that resumes after a pause and refuses its waiting callers, because it has repaid their
+// tokens before it reads their requests.
+test('a loan does not become idle while the process is paused', async () => {
 	const {
 		time, holder, loans, runRounds, countRepaid,
-	} = createWorld();
+	} = createFixture();
 	await loans.borrow(budget, 100);
 	await runRounds(1000);
 	await time.runUntil(9000);
@@ -78,18 +79,18 @@
 	expect(countRepaid()).toBe(1);
 });
 
-// Guards against tokens that are taken from an entry after its restart for a request that has long been refused.
-test('a loan asked of an entry that has left is forgotten', async () => {
+// Guards against borrowing from an entry daemon after its restart for a request that was refused long before.
+test('a pending loan request to an entry daemon that has left is dropped', async () => {
 	const {
-		holder, loans, runRounds, countAsks, setLender,
-	} = createWorld();
-	setLender({answers: false, isMember: true});
+		holder, loans, runRounds, countBorrowCalls, setLender,
+	} = createFixture();
+	setLender({isResponding: false, isMember: true});
 	await loans.borrow(budget, 100);
 	await runRounds(1000);
-	setLender({answers: false, isMember: false});
+	setLender({isResponding: false, isMember: false});
 	await runRounds(2000);
-	const asks = countAsks();
-	setLender({answers: true, isMember: true});
+	const callsBefore = countBorrowCalls();
+	setLender({isResponding: true, isMember: true});
 	await runRounds(3000);
-	expect([countAsks() - asks, holder.countFree(budget)]).toEqual([0, 0]);
+	expect([countBorrowCalls() - callsBefore, holder.countFree(budget)]).toEqual([0, 0]);
 });
--- a/src/coordination/loan-desk.ts
+++ b/src/coordination/loan-desk.ts
@@ -1,10 +1,10 @@
 /**
- * Loans between entry daemons, which even out their grants without the log.
+ * Loans between entry daemons, which balance their grants without the log.
  *
- * A loan is work under the lender's grant: receipts name that grant, so
- * closing it closes its loans too. The lender subtracts before it answers, the
- * loan is numbered, and the borrower repeats the number until it is answered;
- * tokens can be locked by a lost answer but never exist twice.
+ * Tokens on loan still belong to the lender's grant: receipts name that grant,
+ * so closing it closes its loans too. The lender deducts the tokens before it
+ * answers, and the borrower retries under the same loan ID until it gets an
+ * answer. A lost answer can lock tokens, but can't duplicate them.
  *
  * @module
  */
@@ -27,15 +27,15 @@
 /** An answer to a request for a loan. */
 export type LoanAnswer = {
 	readonly shares: readonly GrantShare[];
-	/** Tokens that the lender's running requests may yet free. */
+	/** Tokens reserved by the lender's running requests, of which some may be freed. */
 	readonly reserved: number;
 };
 
-/** What a search for loans came to. */
+/** Result of a search for loans. */
 export type LoanSearch = {
-	/** Tokens that the peers' running requests may yet free. */
+	/** Tokens reserved by the peers' running requests, of which some may be freed. */
 	readonly reserved: number;
-	/** True when every peer that was asked has said what it has. */
+	/** True if every peer that received a request has answered. */
 	readonly isComplete: boolean;
 };
 
@@ -47,90 +47,91 @@
 	readonly clock: Clock;
 	readonly events: EventLog;
 	readonly listMembers: () => Iterable<Readonly<Member>>;
-	/** What each waiting request of this daemon asks for, in tokens. */
+	/** Lists the amounts that this daemon's waiting requests need, in tokens. */
 	readonly listWanted: (budget: string) => readonly number[];
 };
 
 type GivenLoan = {readonly shares: readonly GrantShare[]; readonly to: string; readonly incarnation: string};
-type AskedLoan = {readonly loan: string; readonly budget: string; readonly amount: number; readonly lender: string};
+type PendingLoan = {readonly loan: string; readonly budget: string; readonly amount: number; readonly lender: string};
 type Repayment = {readonly loan: string; readonly lender: string; readonly unspent: readonly GrantShare[]};
 
-/** Loans of one entry daemon. */
+/** Manages the loans of one entry daemon. */
 export type LoanDesk = ReturnType<typeof createLoanDesk>;
 
-const askTimeout = 1000;
-const idleBeforeRepay = 3000;
-/** Longest time between two rounds that counts as idle, in milliseconds; beyond it the process stood still. */
-const longestIdleStep = 1000;
-const extraLoans = 8;
-const answeredLimit = 10_000;
+const callTimeoutMs = 1000;
+const repayAfterIdleMs = 3000;
+/** Longest time between two rounds that counts as idle; a longer gap means that the process was paused. */
+const maxIdleStepMs = 1000;
+/** Largest multiple of the requested amount that a lender gives. */
+const generousFactor = 8;
+const maxEndedLoans = 10_000;
 
 /**
- * Creates the loans of an entry daemon.
+ * Creates the loan manager of an entry daemon.
  *
  * @example
  * ```ts
  * const {reserved} = await loans.borrow('b1', 500);
  * ```
  *
- * @param options Grants and the ways to peers
- * @returns The loans
+ * @param options Grants, peers and connections to them
+ * @returns The loan manager
  */
 export function createLoanDesk(options: CreateLoanDeskOptions) {
 	const {
 		holder, membership, fleet, clock, events,
 	} = options;
-	const given = new Map<string, GivenLoan>();
-	const ended = new Set<string>();
-	const asked = new Map<string, AskedLoan>();
+	const givenLoans = new Map<string, GivenLoan>();
+	const endedLoans = new Set<string>();
+	const pendingLoans = new Map<string, PendingLoan>();
 	const repayments = new Map<string, Repayment>();
-	const idleTimes = new Map<string, number>();
-	let roundAt = clock.now();
+	const idleMsByLoan = new Map<string, number>();
+	let lastRoundAt = clock.now();
 
-	// Requests that came while the process stood still have yet to be read, and need what was borrowed for them.
-	function countSinceRound(): number {
-		return Math.min(clock.now() - roundAt, longestIdleStep);
+	// Limited, because requests that arrived while the process was paused have not been read yet and need their loans.
+	function computeIdleStepMs(): number {
+		return Math.min(clock.now() - lastRoundAt, maxIdleStepMs);
 	}
 
-	function noteEnded(loan: string): void {
-		ended.add(loan);
-		for (const old of ended) {
-			if (ended.size <= answeredLimit) {
+	function markEnded(loan: string): void {
+		endedLoans.add(loan);
+		for (const oldest of endedLoans) {
+			if (endedLoans.size <= maxEndedLoans) {
 				return;
 			}
 
-			ended.delete(old);
+			endedLoans.delete(oldest);
 		}
 	}
 
-	// Near the end two entries may each have too little for a request of theirs, and together enough for one.
-	// Were each to keep its own, both would refuse; so the one with the later name gives way.
+	// When a budget is almost used up, two entry daemons may each have insufficient tokens for a request, but enough together.
+	// If both kept their tokens, both would refuse; so the one whose name sorts later lends all its free tokens.
 	function countLendable(request: LoanRequest): number {
 		const free = holder.countFree(request.budget);
-		const wanted = options.listWanted(request.budget);
-		const isShort = wanted.length > 0 && free < Math.min(...wanted);
-		if (isShort && request.from < membership.self.id) {
+		const waitingAmounts = options.listWanted(request.budget);
+		const isInsufficient = waitingAmounts.length > 0 && free < Math.min(...waitingAmounts);
+		if (isInsufficient && request.from < membership.self.id) {
 			return free;
 		}
 
-		return Math.max(0, free - sumNumbers(wanted));
+		return Math.max(0, free - sumNumbers(waitingAmounts));
 	}
 
-	function giveLoan(request: LoanRequest): readonly GrantShare[] {
+	function issueLoan(request: LoanRequest): readonly GrantShare[] {
 		const free = countLendable(request);
-		// A little more than asked, so that the next request need not ask again.
-		const generous = Math.min(request.amount * extraLoans, Math.floor(free / 2));
-		const shares = holder.withdraw(request.budget, Math.min(free, Math.max(request.amount, generous)));
+		// Lends more than the requested amount if possible, which saves the borrower its next loan requests.
+		const generousAmount = Math.min(request.amount * generousFactor, Math.floor(free / 2));
+		const shares = holder.withdraw(request.budget, Math.min(free, Math.max(request.amount, generousAmount)));
 		if (shares.length > 0) {
 			holder.markLent(shares);
-			given.set(request.loan, {shares, to: request.from, incarnation: request.incarnation});
+			givenLoans.set(request.loan, {shares, to: request.from, incarnation: request.incarnation});
 			events.write('loanGiven', {budget: request.budget, to: request.from, amount: sumShares(shares)});
 		}
 
 		return shares;
 	}
 
-	function takeLoan(loan: AskedLoan, shares: readonly GrantShare[]): void {
+	function acceptLoan(loan: PendingLoan, shares: readonly GrantShare[]): void {
 		for (const share of shares) {
 			holder.add(share.grant, {
 				budget: loan.budget, amount: share.amount, lender: loan.lender, loan: loan.loan,
@@ -138,8 +139,8 @@
 		}
 
 		if (shares.length > 0) {
-			// The next round counts the time since the one before, of which this loan has not lain idle yet.
-			idleTimes.set(loan.loan, -countSinceRound());
+			// The next round adds the whole time since the previous one, of which the part before this loan must not count.
+			idleMsByLoan.set(loan.loan, -computeIdleStepMs());
 			events.write('loanTaken', {budget: loan.budget, from: loan.lender, amount: sumShares(shares)});
 		}
 	}
@@ -148,11 +149,11 @@
 		return [...options.listMembers()].find(member => member.daemon === daemon)?.address ?? membership.get(daemon)?.address;
 	}
 
-	// Repeats one numbered request; the lender answers the same number with the same shares.
-	async function askLender(loan: AskedLoan): Promise<LoanAnswer | undefined> {
+	// Sends or repeats one loan request. The lender answers the same loan ID with the same shares.
+	async function requestLoan(loan: PendingLoan): Promise<LoanAnswer | undefined> {
 		const address = findAddress(loan.lender);
 		if (!address) {
-			asked.delete(loan.loan);
+			pendingLoans.delete(loan.loan);
 			return undefined;
 		}
 
@@ -160,9 +161,9 @@
 			const {self} = membership;
 			const reply = await fleet.connect(address).peer.borrow({
 				loan: loan.loan, budget: loan.budget, amount: loan.amount, from: self.id, incarnation: self.incarnation,
-			}, {timeoutMs: askTimeout});
-			if (asked.delete(loan.loan)) {
-				takeLoan(loan, reply.shares);
+			}, {timeoutMs: callTimeoutMs});
+			if (pendingLoans.delete(loan.loan)) {
+				acceptLoan(loan, reply.shares);
 			}
 
 			return reply;
@@ -171,13 +172,13 @@
 		}
 	}
 
-	// A loan whose answer was lost may stand with the lender, so its number is sent again and not a new one.
-	function ensureAsked(lender: string, budget: string, amount: number): AskedLoan {
-		const open = [...asked.values()].find(loan => loan.lender === lender && loan.budget === budget);
-		const loan = open ?? {
+	// The lender may have granted a loan whose answer was lost, so its loan ID is sent again instead of a new one.
+	function getPendingLoan(lender: string, budget: string, amount: number): PendingLoan {
+		const pending = [...pendingLoans.values()].find(loan => loan.lender === lender && loan.budget === budget);
+		const loan = pending ?? {
 			loan: createId('l'), budget, amount, lender,
 		};
-		asked.set(loan.loan, loan);
+		pendingLoans.set(loan.loan, loan);
 		return loan;
 	}
 
@@ -189,14 +190,14 @@
 		}
 
 		try {
-			await fleet.connect(address).peer.repay({loan: repayment.loan, unspent: [...repayment.unspent]}, {timeoutMs: askTimeout});
+			await fleet.connect(address).peer.repay({loan: repayment.loan, unspent: [...repayment.unspent]}, {timeoutMs: callTimeoutMs});
 			repayments.delete(repayment.loan);
 		} catch {
-			// Repeated by the next round; the lender takes each number once.
+			// Retried in the next round; the lender accepts each loan ID once.
 		}
 	}
 
-	function listLoans(): Map<string, Source[]> {
+	function groupSourcesByLoan(): Map<string, Source[]> {
 		const loans = new Map<string, Source[]>();
 		for (const budget of holder.listBudgets()) {
 			for (const source of holder.listSources(budget)) {
@@ -209,21 +210,21 @@
 		return loans;
 	}
 
-	function endIdleLoans(minIdle: number): void {
-		const step = countSinceRound();
-		roundAt = clock.now();
-		for (const [loan, sources] of listLoans()) {
+	function endIdleLoans(minIdleMs: number): void {
+		const stepMs = computeIdleStepMs();
+		lastRoundAt = clock.now();
+		for (const [loan, sources] of groupSourcesByLoan()) {
 			const isRunning = sources.some(source => source.reserved > 0);
-			const idleMs = isRunning ? 0 : (idleTimes.get(loan) ?? 0) + step;
-			idleTimes.set(loan, idleMs);
-			if (!isRunning && idleMs >= minIdle) {
+			const idleMs = isRunning ? 0 : (idleMsByLoan.get(loan) ?? 0) + stepMs;
+			idleMsByLoan.set(loan, idleMs);
+			if (!isRunning && idleMs >= minIdleMs) {
 				const {budget, lender} = sources[0]!;
 				const unspent = sources.map(source => ({grant: source.grant, amount: source.free}));
 				events.write('loanEnded', {
 					budget, to: lender, amount: sumShares(unspent), idleMs: Math.round(idleMs),
 				});
 				repayments.set(loan, {loan, lender: lender!, unspent});
-				idleTimes.delete(loan);
+				idleMsByLoan.delete(loan);
 				for (const source of sources) {
 					holder.dropLoan(source);
 				}
@@ -232,37 +233,37 @@
 	}
 
 	return {
-		/** Answers a peer's request; the same number gets the same answer. */
+		/** Answers a peer's loan request; a repeated loan ID gets the same shares. */
 		lend(request: LoanRequest): LoanAnswer {
-			const known = given.get(request.loan)?.shares ?? (ended.has(request.loan) ? [] : undefined);
-			return {shares: known ?? giveLoan(request), reserved: holder.countReserved(request.budget)};
+			const known = givenLoans.get(request.loan)?.shares ?? (endedLoans.has(request.loan) ? [] : undefined);
+			return {shares: known ?? issueLoan(request), reserved: holder.countReserved(request.budget)};
 		},
 
-		/** Takes a repayment; a repeated one does nothing. */
+		/** Accepts a repayment; a repeated one has no effect. */
 		takeRepayment(loan: string, unspent: readonly GrantShare[]): void {
-			const known = given.get(loan);
+			const known = givenLoans.get(loan);
 			if (known) {
-				given.delete(loan);
-				noteEnded(loan);
+				givenLoans.delete(loan);
+				markEnded(loan);
 				holder.settleLoan(known.shares, unspent);
 			}
 		},
 
-		/** Own grants of which a part is lent to a daemon that the predicate names. */
+		/** Yields this daemon's grants of which a part is lent to a daemon that matches the predicate. */
 		* findLentTo(isHolder: (daemon: string, incarnation: string) => boolean): Generator<string> {
-			for (const {shares, to, incarnation} of given.values()) {
+			for (const {shares, to, incarnation} of givenLoans.values()) {
 				if (isHolder(to, incarnation)) {
 					yield * shares.map(share => share.grant);
 				}
 			}
 		},
 
-		/** Grants lent to an incarnation, which must be closed when it has ended. */
+		/** Removes the loans to ended incarnations and returns their grants, which must be closed. */
 		listLentTo(isEnded: (daemon: string, incarnation: string) => boolean): Set<string> {
 			const grants = new Set<string>();
-			for (const [loan, {shares, to, incarnation}] of given) {
+			for (const [loan, {shares, to, incarnation}] of givenLoans) {
 				if (isEnded(to, incarnation)) {
-					given.delete(loan);
+					givenLoans.delete(loan);
 					for (const share of shares) {
 						grants.add(share.grant);
 					}
@@ -272,7 +273,7 @@
 			return grants;
 		},
 
-		/** Borrows from live peers until enough is free. */
+		/** Borrows from live peers until the given amount is free. */
 		async borrow(budget: string, amount: number): Promise<LoanSearch> {
 			let reserved = 0;
 			let isComplete = true;
@@ -282,7 +283,7 @@
 					break;
 				}
 
-				const answer = await askLender(ensureAsked(lender.daemon, budget, missing));
+				const answer = await requestLoan(getPendingLoan(lender.daemon, budget, missing));
 				reserved += answer?.reserved ?? 0;
 				isComplete &&= answer !== undefined;
 			}
@@ -290,16 +291,16 @@
 			return {reserved, isComplete};
 		},
 
-		/** One round: asks again for unanswered loans and repays idle ones. */
+		/** Runs one round: repeats unanswered loan requests and repays idle loans. */
 		async keepUp(): Promise<void> {
-			endIdleLoans(idleBeforeRepay);
+			endIdleLoans(repayAfterIdleMs);
 			await Promise.all([
-				...[...asked.values()].map(async loan => askLender(loan)),
+				...[...pendingLoans.values()].map(async loan => requestLoan(loan)),
 				...[...repayments.values()].map(async repayment => sendRepayment(repayment)),
 			]);
 		},
 
-		/** Repays every loan that no request uses, for a stop. */
+		/** Repays every loan that no request uses; called when the daemon stops. */
 		async repayAll(): Promise<void> {
 			endIdleLoans(0);
 			await Promise.all([...repayments.values()].map(async repayment => sendRepayment(repayment)));
--- a/src/coordination/model-runner.test.ts
+++ b/src/coordination/model-runner.test.ts
@@ -8,7 +8,7 @@
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
 
-/** What an engine does with the next stream: it runs it, refuses the connection, or breaks off. */
+/** How the engine handles the next stream: it answers, refuses the connection, or closes the connection. */
 type EngineStep = 'answer' | 'refuse' | 'break';
 
 async function play(steps: readonly EngineStep[]) {
@@ -46,20 +46,21 @@
 	return {runs, request};
 }
 
-// Guards against a request that ends its engine at each of twenty tries: the engine is back within the pauses between them.
-test('a run whose engine ended is not begun again there', async () => {
+// Guards against a request that crashes its engine on each of twenty attempts, as the engine restarts within the delays
+// between them.
+test('a run whose engine process ended is not started again at that engine', async () => {
 	const {runs, request} = await play(['break', 'refuse', 'break', 'refuse', 'break', 'refuse']);
 	expect(runs).toBe(1);
 	expect(request.failure).toMatchObject({type: 'answer-cut', ran: 'unknown'});
 });
 
-test('a run whose connection alone broke is resumed', async () => {
+test('a run is resumed if only its connection broke', async () => {
 	const {runs, request} = await play(['break']);
 	expect(runs).toBe(2);
 	expect(request.end?.chunks).toBe(1);
 });
 
-test('a request waits for an engine that is not up yet', async () => {
+test('a request waits for an engine that has not started yet', async () => {
 	const {runs, request} = await play(['refuse', 'refuse']);
 	expect(runs).toBe(1);
 	expect(request.end?.chunks).toBe(1);
--- a/src/coordination/model-runner.ts
+++ b/src/coordination/model-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs model requests at one engine: resumes silent streams, holds the engine
- * to its limit and writes the receipt.
+ * Runs model requests at one engine: resumes broken streams, enforces the
+ * request's token limit, and writes the receipt.
  *
  * @module
  */
@@ -20,7 +20,7 @@
 	readonly request: TrackedRequest;
 	readonly payload: Uint8Array;
 	readonly priority: number;
-	/** Clock at which the caller's deadline passes. */
+	/** Clock time of the caller's deadline, in milliseconds. */
 	readonly deadline: number;
 };
 
@@ -32,39 +32,39 @@
 	readonly events: EventLog;
 };
 
-/** Runs model requests. */
+/** Runs model requests at one engine. */
 export type ModelRunner = ReturnType<typeof createModelRunner>;
 
 type Progress = {
-	next: number;
+	nextSequence: number;
 	tokens: number;
-	limit: number;
+	maxTokens: number;
 	usage?: Usage;
 	finishReason: string;
-	isOverrun: boolean;
+	isOverLimit: boolean;
 };
 
-const resumePause = 100;
-const resumeLimit = 20;
+const resumeDelayMs = 100;
+const maxStreamAttempts = 20;
 const retryAfterMs = 1000;
 
 /**
- * Creates a runner.
+ * Creates a model runner.
  *
  * @example
  * ```ts
  * await runner.run({request, payload, priority: 5, deadline: clock.now() + 60_000});
  * ```
  *
- * @param options The engine and the receipts
- * @returns The runner
+ * @param options Engine client, receipts, clock and events
+ * @returns The model runner
  */
 export function createModelRunner(options: CreateModelRunnerOptions) {
 	const {
 		engine, reporter, clock, events,
 	} = options;
 
-	function takeChunk(request: TrackedRequest, progress: Progress, data: string): void {
+	function handleEvent(request: TrackedRequest, progress: Progress, data: string): void {
 		const chunk = chatChunkSchema.safeParse(JSON.parse(data));
 		if (!chunk.success) {
 			events.write('frameDropped', {request: request.id, reason: 'unreadable engine event'});
@@ -73,9 +73,9 @@
 
 		const [choice] = chunk.data.choices;
 		const hasText = Boolean(choice?.delta?.content);
-		// An engine that generates past its limit would spend more than was reserved: the rest is neither passed on nor billed.
-		if (hasText && progress.tokens >= progress.limit) {
-			progress.isOverrun = true;
+		// Text that an engine generates beyond the limit would cost more than was reserved. It is neither passed on nor billed.
+		if (hasText && progress.tokens >= progress.maxTokens) {
+			progress.isOverLimit = true;
 			return;
 		}
 
@@ -86,75 +86,76 @@
 	}
 
 	async function readStream(call: EngineCall, request: TrackedRequest, progress: Progress): Promise<Result<undefined, Failure>> {
-		const stream = engine.stream(call, progress.next);
+		const stream = engine.stream(call, progress.nextSequence);
 		for (let item = await stream.next(); ; item = await stream.next()) {
 			if (item.done) {
 				return item.value;
 			}
 
-			// A resumed stream may repeat events; a gap would lose text, so it counts as a broken stream.
-			if (item.value.sequence < progress.next) {
+			// A resumed stream may repeat events, which are skipped. A gap would lose text, so it is treated as a broken stream.
+			if (item.value.sequence < progress.nextSequence) {
 				continue;
 			}
 
-			if (item.value.sequence > progress.next) {
-				throw new Error(`The engine skipped from event ${progress.next} to ${item.value.sequence}`);
+			if (item.value.sequence > progress.nextSequence) {
+				throw new Error(`The engine skipped from event ${progress.nextSequence} to ${item.value.sequence}`);
 			}
 
-			progress.next += 1;
-			takeChunk(request, progress, item.value.data);
-			if (progress.isOverrun) {
-				events.write('engineOverran', {request: request.id, limit: progress.limit});
+			progress.nextSequence += 1;
+			handleEvent(request, progress, item.value.data);
+			if (progress.isOverLimit) {
+				events.write('engineOverran', {request: request.id, limit: progress.maxTokens});
 				void engine.cancel(request.id);
 				return Ok(undefined);
 			}
 		}
 	}
 
-	// A stream that fell silent is resumed on a new connection at the next event, without a second run.
-	async function readWhole(work: ModelWork, progress: Progress): Promise<Result<undefined, Failure>> {
+	// Resumes a broken stream on a new connection from the next event, without starting a second run.
+	async function readAnswer(work: ModelWork, progress: Progress): Promise<Result<undefined, Failure>> {
 		const {request} = work;
-		const bound = createBound(work.deadline - clock.now(), [request.stopper.signal]);
+		const timeout = createBound(work.deadline - clock.now(), [request.stopper.signal]);
 		const call: EngineCall = {
 			requestId: request.id, body: Buffer.from(work.payload).toString(), priority: work.priority,
-			signal: bound.signal,
+			signal: timeout.signal,
 		};
 		let hasBegun = false;
-		for (let tries = 0; tries < resumeLimit && clock.now() < work.deadline; tries++) {
+		for (let tries = 0; tries < maxStreamAttempts && clock.now() < work.deadline; tries++) {
 			try {
 				const outcome = await readStream(call, request, progress);
-				bound.clear();
+				timeout.clear();
 				return outcome;
 			} catch (error) {
 				if (request.stopper.signal.aborted) {
-					bound.clear();
+					timeout.clear();
 					void engine.cancel(request.id);
 					return Err(createFailure('answer-cut', 'The request was cancelled', {ran: 'yes'}));
 				}
 
 				const isRefused = isConnectionRefused(error);
-				// The engine's process ended under this run, and may have ended because of it: the next one must not run it too.
+				// A refused connection after the stream had begun means that the engine process ended, possibly because of this
+				// request. It must not be started again on the restarted engine.
 				if (isRefused && hasBegun) {
-					bound.clear();
-					return Err(createFailure('answer-cut', `The engine ended at event ${progress.next}`, {ran: progress.next > 0 ? 'yes' : 'unknown', retryAfterMs}));
+					timeout.clear();
+					return Err(createFailure('answer-cut', `The engine process ended at event ${progress.nextSequence}`, {ran: progress.nextSequence > 0 ? 'yes' : 'unknown', retryAfterMs}));
 				}
 
 				hasBegun ||= !isRefused;
 				events.write('streamResumed', {
-					request: request.id, hop: 'engine', next: progress.next, reason: (error as Error).message,
+					request: request.id, hop: 'engine', next: progress.nextSequence, reason: (error as Error).message,
 				});
-				await clock.sleep(resumePause * (tries + 1));
+				await clock.sleep(resumeDelayMs * (tries + 1));
 			}
 		}
 
-		bound.clear();
+		timeout.clear();
 		void engine.cancel(request.id);
-		return Err(createFailure('answer-cut', `The engine's stream broke at event ${progress.next}`, {ran: progress.next > 0 ? 'yes' : 'unknown', retryAfterMs}));
+		return Err(createFailure('answer-cut', `The engine's stream broke at event ${progress.nextSequence}`, {ran: progress.nextSequence > 0 ? 'yes' : 'unknown', retryAfterMs}));
 	}
 
 	function computeCost(progress: Progress, reservation: number): number {
 		const prompt = progress.usage?.prompt_tokens ?? 0;
-		const completion = progress.isOverrun ? progress.tokens : Math.max(progress.tokens, progress.usage?.completion_tokens ?? 0);
+		const completion = progress.isOverLimit ? progress.tokens : Math.max(progress.tokens, progress.usage?.completion_tokens ?? 0);
 		return Math.min(prompt + completion, reservation);
 	}
 
@@ -170,25 +171,26 @@
 		request.finish({
 			billed,
 			promptTokens: progress.usage?.prompt_tokens ?? 0,
-			completionTokens: progress.isOverrun ? progress.tokens : progress.usage?.completion_tokens ?? progress.tokens,
-			finishReason: progress.isOverrun ? 'length' : progress.finishReason,
+			completionTokens: progress.isOverLimit ? progress.tokens : progress.usage?.completion_tokens ?? progress.tokens,
+			finishReason: progress.isOverLimit ? 'length' : progress.finishReason,
 		});
 	}
 
 	return {
-		/** Runs one request to its end; the outcome is in the request. */
+		/** Runs one request to its end and stores the outcome in it. */
 		async run(work: ModelWork): Promise<void> {
 			const {request} = work;
 			const progress: Progress = {
-				next: 0, tokens: 0, limit: readLimit(work.payload), finishReason: 'stop', isOverrun: false,
+				nextSequence: 0, tokens: 0, maxTokens: readLimit(work.payload), finishReason: 'stop', isOverLimit: false,
 			};
-			const outcome = await readWhole(work, progress);
+			const outcome = await readAnswer(work, progress);
 			if (outcome.ok) {
 				finish(request, progress);
 				return;
 			}
 
-			// A caller that left is billed for what was generated for it; an answer that the fleet lost is not billed.
+			// A caller that disconnected is billed for the tokens generated so far. An answer lost through a failure of the
+			// system is not billed.
 			const billed = request.stopper.signal.aborted ? writeReceipt(request, computeCost(progress, sumShares(request.shares))) : [];
 			request.fail(outcome.val, billed);
 		},
--- a/src/coordination/order-sender.ts
+++ b/src/coordination/order-sender.ts
@@ -1,9 +1,9 @@
 /**
- * Gives an engine the orders that the log holds for it.
+ * Sends an engine the operator orders recorded for it in the log.
  *
- * The offset of an order's record is its fencing number. Engines that ignore
- * the number are guarded here: this daemon is the only way to its engine, and
- * holds the highest number it has sent.
+ * The offset of an order's record is its fencing token. Engines that ignore the
+ * token are protected here: only this daemon can reach its engine, and it
+ * remembers the highest token that it has sent.
  *
  * @module
  */
@@ -21,21 +21,21 @@
 	readonly events: EventLog;
 };
 
-/** Gives an engine its orders. */
+/** Sends orders to an engine. */
 export type OrderSender = ReturnType<typeof createOrderSender>;
 
-const roundPause = 500;
+const pollIntervalMs = 500;
 
 /**
- * Creates the sender; `run` is its task.
+ * Creates an order sender; `run` sends orders until its signal is aborted.
  *
  * @example
  * ```ts
  * void createOrderSender({self, follower, engine, clock, events}).run(signal);
  * ```
  *
- * @param options Log and engine
- * @returns The sender
+ * @param options Log, engine client, clock and events
+ * @returns The order sender
  */
 export function createOrderSender(options: CreateOrderSenderOptions) {
 	const {
@@ -43,7 +43,8 @@
 	} = options;
 	const sent = new Map<string, number>();
 
-	// A superseded incarnation that wakes from a pause would send an order that its successor has replaced.
+	// Checked before each order: a superseded incarnation that resumes after a pause could otherwise send an order that its
+	// successor has already replaced.
 	function isCurrent(): boolean {
 		return follower.state().placement.isCurrent(self.id, self.incarnation);
 	}
@@ -70,7 +71,7 @@
 		async run(signal: AbortSignal): Promise<void> {
 			while (!signal.aborted) {
 				await sendOrders();
-				await clock.sleep(roundPause, signal);
+				await clock.sleep(pollIntervalMs, signal);
 			}
 		},
 	};
--- a/src/coordination/request-router.test.ts
+++ b/src/coordination/request-router.test.ts
@@ -4,19 +4,19 @@
 	Ok, createFailure, type EventLog, type Failure,
 } from '../protocol/mod.js';
 import {
-	createRequestRouter, createRetryBudget, type Attempt, type AttemptOutcome, type AttemptRunner, type LogFollower, type RouteBook, type RoutedCall, type RoutingPolicy,
+	createRequestRouter, createRetryBudget, type Attempt, type AttemptOutcome, type AttemptRunner, type LogFollower, type RouteRegistry, type RoutedCall, type RoutingPolicy,
 } from './mod.js';
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
 const daemons = ['up-1', 'up-2', 'up-3', 'up-4'];
 
-/** Runs a call whose sendings end as given, one after the other; returns where it was sent and how it ended. */
+/** Runs a call whose first attempts end with the given failures, in order; returns where it was sent and its result. */
 async function play(failures: readonly Failure[]) {
 	const time = createVirtualTime();
 	const left = [...failures];
 	const sentTo: string[] = [];
 	const attempts = {
-		start: async (call: RoutedCall, member: {daemon: string}) => Ok({call, member, next: 0} as unknown as Attempt),
+		start: async (call: RoutedCall, member: {daemon: string}) => Ok({call, member, nextSequence: 0} as unknown as Attempt),
 		attach: () => undefined,
 		// eslint-disable-next-line require-yield
 		async * run({member}: Attempt): AsyncGenerator<Uint8Array, AttemptOutcome> {
@@ -30,9 +30,9 @@
 		attempts,
 		book: {
 			listCandidates: (_target: string, tried: ReadonlySet<string>) => daemons.filter(daemon => !tried.has(daemon)).map(daemon => ({daemon})),
-			noteStart: () => undefined,
-			noteEnd: () => undefined,
-		} as unknown as RouteBook,
+			recordStart: () => undefined,
+			recordEnd: () => undefined,
+		} as unknown as RouteRegistry,
 		policy: {pick: (_query: unknown, candidates: ReadonlyArray<{daemon: string}>) => candidates[0]} as unknown as RoutingPolicy,
 		retries: createRetryBudget({share: 0.2, burst: 10}), clock: time, events, resumeWithin: 1000,
 	});
@@ -49,16 +49,16 @@
 	return {sentTo, result: item.value};
 }
 
-// Guards against a request that ends the engine of each upstream daemon in turn.
-test('a request whose run broke off at two upstreams is not sent to a third', async () => {
-	const cut = createFailure('answer-cut', 'The engine ended at event 0', {ran: 'unknown'});
+// Guards against a request that crashes the engine of one upstream daemon after the other.
+test('a request whose answer was cut at two upstreams is not sent to a third', async () => {
+	const cut = createFailure('answer-cut', 'The engine process ended at event 0', {ran: 'unknown'});
 	const {sentTo, result} = await play([cut, cut, cut, cut]);
 	expect(sentTo).toEqual(['up-1', 'up-2']);
 	expect(result.err && result.val.type).toBe('answer-cut');
 });
 
-test('a request that upstreams refuse as busy goes on to the next', async () => {
-	const busy = createFailure('overloaded', 'It is full');
+test('a request that an upstream refuses as overloaded is sent to the next one', async () => {
+	const busy = createFailure('overloaded', 'The queue is full');
 	const {sentTo, result} = await play([busy, busy, busy]);
 	expect(sentTo).toEqual(daemons);
 	expect(result.ok).toBe(true);
--- a/src/coordination/route-book.ts
+++ b/src/coordination/route-book.ts
@@ -1,5 +1,6 @@
 /**
- * What one entry has seen of the upstreams it sends requests to.
+ * Tracks running requests and latency for each upstream to which an entry
+ * daemon sends requests.
  *
  * @module
  */
@@ -8,35 +9,35 @@
 import type {RouteCandidate} from './routing-policy.js';
 
 /** Options of {@linkcode createRouteBook}. */
-export type CreateRouteBookOptions = {
+export type CreateRouteRegistryOptions = {
 	readonly membership: Membership;
 	readonly failureDomain: string;
 	readonly listUpstreams: () => readonly Member[];
 };
 
-/** What one entry has seen of upstreams. */
-export type RouteBook = ReturnType<typeof createRouteBook>;
+/** Running requests and latency by upstream, as observed by one entry daemon. */
+export type RouteRegistry = ReturnType<typeof createRouteBook>;
 
-const learningRate = 0.2;
-const forgetting = 0.98;
+const smoothingFactor = 0.2;
+const decayFactor = 0.98;
 
 /**
- * Creates an empty book.
+ * Creates an empty route registry.
  *
  * @example
  * ```ts
- * const candidates = book.listCandidates('assistant', new Set());
+ * const candidates = routes.listCandidates('assistant', new Set());
  * ```
  *
- * @param options Members and this daemon's failure domain
- * @returns The book
+ * @param options Membership, upstreams and this daemon's failure domain
+ * @returns The route registry
  */
-export function createRouteBook(options: CreateRouteBookOptions) {
+export function createRouteBook(options: CreateRouteRegistryOptions) {
 	const {membership} = options;
 	const inFlight = new Map<string, number>();
 	const firstMs = new Map<string, number>();
 
-	function describe(member: Member): RouteCandidate {
+	function toCandidate(member: Member): RouteCandidate {
 		const load = membership.get(member.daemon)?.load;
 		return {
 			daemon: member.daemon,
@@ -48,11 +49,11 @@
 		};
 	}
 
-	// An upstream left out as slow gets no requests that could show it is fast again, so its average fades.
-	function fadeOthers(daemon: string): void {
-		for (const [other, span] of firstMs) {
+	// An upstream excluded as slow gets no requests by which its average could improve, so the average decays over time.
+	function decayOthers(daemon: string): void {
+		for (const [other, latency] of firstMs) {
 			if (other !== daemon) {
-				firstMs.set(other, span * forgetting);
+				firstMs.set(other, latency * decayFactor);
 			}
 		}
 	}
@@ -63,25 +64,25 @@
 	}
 
 	return {
-		/** Upstreams that serve the target and can take a request now. */
+		/** Lists the untried upstreams that serve the target and can accept a request now. */
 		listCandidates(target: string, tried: ReadonlySet<string>): RouteCandidate[] {
 			return options.listUpstreams()
 				.filter(member => member.serves.includes(target) && !tried.has(member.daemon) && isUsable(member))
-				.map(member => describe(member));
+				.map(member => toCandidate(member));
 		},
 
-		noteStart(daemon: string): void {
+		recordStart(daemon: string): void {
 			inFlight.set(daemon, (inFlight.get(daemon) ?? 0) + 1);
 		},
 
-		noteEnd(daemon: string): void {
+		recordEnd(daemon: string): void {
 			inFlight.set(daemon, (inFlight.get(daemon) ?? 1) - 1);
 		},
 
-		noteFirst(daemon: string, span: number): void {
-			const before = firstMs.get(daemon) ?? span;
-			firstMs.set(daemon, before + (learningRate * (span - before)));
-			fadeOthers(daemon);
+		recordFirstChunk(daemon: string, latencyMs: number): void {
+			const average = firstMs.get(daemon) ?? latencyMs;
+			firstMs.set(daemon, average + (smoothingFactor * (latencyMs - average)));
+			decayOthers(daemon);
 		},
 	};
 }
--- a/src/coordination/routing-policy.ts
+++ b/src/coordination/routing-policy.ts
@@ -1,60 +1,61 @@
 /**
- * Which upstream gets a model request.
+ * Policies that pick the upstream for a model request.
  *
  * @module
  */
 import {rankByRendezvous} from './rendezvous.js';
 
-/** An upstream that may take the request. */
+/** An upstream that may get the request. */
 export type RouteCandidate = {
 	readonly daemon: string;
-	/** Requests that this entry has running there. */
+	/** Requests of this entry daemon that are running there. */
 	readonly inFlight: number;
-	/** Running and queued requests by the upstream's last report, which lags. */
+	/** Running and queued requests in the upstream's last report, which may be seconds old. */
 	readonly reported: number;
+	/** Number of requests that the upstream can run concurrently. */
 	readonly capacity: number;
-	/** Moving average of the time to the first token seen from here, in milliseconds; 0 when unknown. */
+	/** Moving average of the time to first token observed by this entry daemon, in milliseconds; 0 if unknown. */
 	readonly firstMs: number;
 	readonly isSameDomain: boolean;
 };
 
-/** What a policy may know of a request. */
+/** Properties of a request that a policy may use. */
 export type RouteQuery = {
-	/** Digest of the prompt's beginning, which engines cache. */
+	/** Digest of the beginning of the prompt, which engines cache. */
 	readonly prefix: string;
 };
 
-/** Chooses among upstreams. */
+/** Picks an upstream for a request. */
 export abstract class RoutingPolicy {
-	/** Name in measurements. */
+	/** Name used in measurements. */
 	abstract readonly name: string;
 
-	/** Picks one of at least one candidate. */
+	/** Picks a candidate from a list that is not empty. */
 	abstract pick(query: RouteQuery, candidates: readonly RouteCandidate[]): RouteCandidate;
 }
 
 /** A source of random numbers in [0, 1). */
 export type RandomSource = () => number;
 
-const loadSlack = 1.25;
+const maxLoadFactor = 1.25;
 const slowFactor = 3;
-const slowFloor = 50;
+const minSlowMs = 50;
 
 /** @internal */
 function estimateLoad(candidate: RouteCandidate): number {
-	// Reports lag by seconds; what this entry has sent since is only in its own count.
+	// Reports are seconds old. Requests that this entry daemon has sent since then appear only in its own count.
 	return Math.max(candidate.inFlight, candidate.reported) / candidate.capacity;
 }
 
 /** @internal */
-function pickLeast(candidates: readonly RouteCandidate[], rate: (candidate: RouteCandidate) => number): RouteCandidate {
+function pickLowest(candidates: readonly RouteCandidate[], rate: (candidate: RouteCandidate) => number): RouteCandidate {
 	return candidates.toSorted((left, right) => rate(left) - rate(right))[0]!;
 }
 
 /**
- * Prefix affinity with bounded load: the first candidate in the prefix's
- * rendezvous order whose load is within a quarter of the mean (Mirrokni,
- * Thorup and Zadimoghaddam, 2018), leaving out upstreams that are slow.
+ * Prefix affinity with bounded load: picks the first candidate in the rendezvous
+ * order of the prefix whose load exceeds the mean by at most a quarter, plus one
+ * request (Mirrokni, Thorup and Zadimoghaddam, 2018). Slow upstreams are excluded.
  */
 export class PrefixRoutingPolicy extends RoutingPolicy {
 	get name() {
@@ -62,29 +63,30 @@
 	}
 
 	pick(query: RouteQuery, candidates: readonly RouteCandidate[]): RouteCandidate {
-		const fit = this.#leaveOutSlow(candidates);
-		const mean = fit.reduce((sum, candidate) => sum + estimateLoad(candidate), 0) / fit.length;
-		const byName = new Map(fit.map(candidate => [candidate.daemon, candidate]));
+		const eligible = this.#excludeSlow(candidates);
+		const mean = eligible.reduce((sum, candidate) => sum + estimateLoad(candidate), 0) / eligible.length;
+		const byName = new Map(eligible.map(candidate => [candidate.daemon, candidate]));
 		for (const name of rankByRendezvous(query.prefix, byName.keys())) {
 			const candidate = byName.get(name)!;
-			if (estimateLoad(candidate) <= (mean * loadSlack) + (1 / candidate.capacity)) {
+			if (estimateLoad(candidate) <= (mean * maxLoadFactor) + (1 / candidate.capacity)) {
 				return candidate;
 			}
 		}
 
-		return pickLeast(fit, estimateLoad);
+		return pickLowest(eligible, estimateLoad);
 	}
 
-	#leaveOutSlow(candidates: readonly RouteCandidate[]): readonly RouteCandidate[] {
-		const known = candidates.map(candidate => candidate.firstMs).filter(span => span > 0).sort((left, right) => left - right);
-		const median = known[Math.floor(known.length / 2)] ?? 0;
-		const bound = Math.max(slowFloor, median * slowFactor);
-		const fit = candidates.filter(candidate => candidate.firstMs <= bound);
-		return fit.length > 0 ? fit : candidates;
+	// Keeps all candidates if none is fast enough.
+	#excludeSlow(candidates: readonly RouteCandidate[]): readonly RouteCandidate[] {
+		const latencies = candidates.map(candidate => candidate.firstMs).filter(latency => latency > 0).sort((left, right) => left - right);
+		const median = latencies[Math.floor(latencies.length / 2)] ?? 0;
+		const maxFirstMs = Math.max(minSlowMs, median * slowFactor);
+		const eligible = candidates.filter(candidate => candidate.firstMs <= maxFirstMs);
+		return eligible.length > 0 ? eligible : candidates;
 	}
 }
 
-/** Baseline: any upstream. */
+/** Baseline: picks an upstream at random. */
 export class RandomRoutingPolicy extends RoutingPolicy {
 	get name() {
 		return 'random';
@@ -99,27 +101,27 @@
 	}
 }
 
-/** Baseline: one after the other. */
+/** Baseline: picks the upstreams in turn. */
 export class RoundRobinRoutingPolicy extends RoutingPolicy {
 	get name() {
 		return 'round-robin';
 	}
 
-	#turn = 0;
+	#pickCount = 0;
 
 	pick(_query: RouteQuery, candidates: readonly RouteCandidate[]): RouteCandidate {
-		this.#turn += 1;
-		return candidates[this.#turn % candidates.length]!;
+		this.#pickCount += 1;
+		return candidates[this.#pickCount % candidates.length]!;
 	}
 }
 
-/** Baseline: the least load by the upstreams' own lagging reports. */
+/** Baseline: picks the upstream with the lowest load in its last report, which may be seconds old. */
 export class LeastReportedRoutingPolicy extends RoutingPolicy {
 	get name() {
 		return 'least-reported';
 	}
 
 	pick(_query: RouteQuery, candidates: readonly RouteCandidate[]): RouteCandidate {
-		return pickLeast(candidates, candidate => candidate.reported / candidate.capacity);
+		return pickLowest(candidates, candidate => candidate.reported / candidate.capacity);
 	}
 }
--- a/src/coordination/service-runner.test.ts
+++ b/src/coordination/service-runner.test.ts
@@ -27,7 +27,7 @@
 	};
 }
 
-/** An executor whose log takes every record. */
+/** Starts a service runner whose log accepts every record. */
 async function startRunner(self: Self) {
 	const clock = createSystemClock();
 	const events = createEventLog(self.id);
@@ -60,14 +60,14 @@
 	id: 'up-1', role: 'upstream', incarnation: 'i-1', isLeaving: false,
 };
 
-// A family's slot is booked twice: the executor ran the booking, its bounded
-// table forgot it, and the caller's retry finds the run record on the log still
-// naming this executor. It must not run again.
-test('obtainRight() gives a right once, and again only for what has not run', async () => {
+// Guards against a booking that runs twice: the daemon has run it, its bounded
+// request table has dropped it, and a retry finds the run record in the log
+// that still assigns it to this daemon.
+test('a request is permitted to run once, and again only if it has not run', async () => {
 	const {runner, stop} = await startRunner(upstream);
 	const first = await runner.obtainRight('r1', service);
 	const second = await runner.obtainRight('r1', service);
-	runner.noteNotRun('r1');
+	runner.markNotRun('r1');
 	const third = await runner.obtainRight('r1', service);
 	stop();
 	expect(first.kind).toBe('mine');
@@ -75,19 +75,19 @@
 	expect(third.kind).toBe('mine');
 });
 
-// Guards against a booking that was given to another executor, and is refused as "not run" once its budget is used up.
-test('findRight() tells of rights on the log and asks for none', async () => {
+// Guards against refusing a booking as "not run" once its budget is used up, although the log assigns it to another daemon.
+test('findPermit() reads permits from the log without obtaining one', async () => {
 	const {runner, log, follower, stop} = await startRunner(upstream);
-	const before = runner.findRight('r1');
+	const before = runner.findPermit('r1');
 	await log.append([{
 		kind: 'run', request: 'r1', daemon: 'up-2', incarnation: 'i-9',
 	}]);
 	await follower.waitFor(state => state.runs.has('r1'), AbortSignal.timeout(5000));
-	const other = runner.findRight('r1');
+	const other = runner.findPermit('r1');
 	await runner.obtainRight('r2', service);
-	const own = runner.findRight('r2');
-	runner.noteNotRun('r2');
-	const notRun = [runner.findRight('r2'), runner.findRight('r2')];
+	const own = runner.findPermit('r2');
+	runner.markNotRun('r2');
+	const notRun = [runner.findPermit('r2'), runner.findPermit('r2')];
 	stop();
 	expect(before).toBe(undefined);
 	expect(other).toMatchObject({kind: 'other', run: {daemon: 'up-2'}});
--- a/src/coordination/service-runner.ts
+++ b/src/coordination/service-runner.ts
@@ -1,5 +1,6 @@
 /**
- * Runs calls of plain services, non-idempotent ones at most once.
+ * Runs calls of plain services. A call of a non-idempotent service runs at most
+ * once.
  *
  * @module
  */
@@ -19,12 +20,12 @@
 	readonly request: TrackedRequest;
 	readonly service: Service;
 	readonly payload: Uint8Array;
-	/** Clock at which the caller's deadline passes. */
+	/** Clock time of the caller's deadline, in milliseconds. */
 	readonly deadline: number;
 };
 
-/** Who the log gave a request to; or that this daemon may run it. */
-export type RunRight =
+/** Whether this daemon may run a request, or which other daemon the log assigns it to. */
+export type RunPermit =
 	| {readonly kind: 'mine'}
 	| {readonly kind: 'other'; readonly run: Readonly<RegisteredRun>}
 	| {readonly kind: 'refused'; readonly failure: Failure};
@@ -38,37 +39,39 @@
 	readonly reporter: ReceiptReporter;
 	readonly clock: Clock;
 	readonly events: EventLog;
-	/** Longest wait for a run record, in milliseconds; default 3000. */
-	readonly recordBound?: number;
+	/** Timeout for appending a run record, in milliseconds; default 3000. */
+	readonly recordTimeoutMs?: number;
 };
 
-/** Runs service calls. */
+/** Runs calls of a plain service. */
 export type ServiceRunner = ReturnType<typeof createServiceRunner>;
 
-const defaultRecordBound = 3000;
-const roundPause = 500;
-const notRunLimit = 10_000;
+const defaultRecordTimeoutMs = 3000;
+const recordIntervalMs = 500;
+const maxNotRun = 10_000;
 
 /**
- * Creates a runner.
+ * Creates a service runner.
  *
  * @example
  * ```ts
- * const right = await runner.obtainRight(request.id, service);
+ * const permit = await runner.obtainRight(request.id, service);
  * ```
  *
- * @param options The service and the log
- * @returns The runner
+ * @param options Service client, log and receipts
+ * @returns The service runner
  */
 export function createServiceRunner(options: CreateServiceRunnerOptions) {
 	const {
 		self, client, follower, writer, reporter, clock, events,
 	} = options;
-	const recordBound = options.recordBound ?? defaultRecordBound;
-	const unrecorded = new Map<string, string>();
+	const recordTimeoutMs = options.recordTimeoutMs ?? defaultRecordTimeoutMs;
+	/** Incarnation by request, for runs permitted while the log was unavailable. */
+	const unrecordedRuns = new Map<string, string>();
+	/** Requests that this incarnation is known not to have run. */
 	const notRun = new Set<string>();
 
-	function readRight(request: string): RunRight | undefined {
+	function readPermit(request: string): RunPermit | undefined {
 		const run = follower.state().runs.get(request);
 		if (!run) {
 			return undefined;
@@ -78,49 +81,52 @@
 		return isMine ? {kind: 'mine'} : {kind: 'other', run};
 	}
 
-	// While the log is away the placement cannot change, so only the first placed executor may run without a record.
-	function obtainWithoutLog(request: string, service: Service): RunRight {
-		if (service.withoutLog === 'run' && isPlacedFirst(request, service.name)) {
-			unrecorded.set(request, self.incarnation);
+	// The placement cannot change while the log is unavailable, so the upstream daemon that ranks first for a request may
+	// run it without a record, and no other.
+	function obtainPermitWithoutLog(request: string, service: Service): RunPermit {
+		if (service.withoutLog === 'run' && isFirstExecutor(request, service.name)) {
+			unrecordedRuns.set(request, self.incarnation);
 			return {kind: 'mine'};
 		}
 
-		return {kind: 'refused', failure: createFailure('log-unavailable', `Service "${service.name}" runs only what the log has recorded, and the log does not answer`, {retryAfterMs: 5000})};
+		return {kind: 'refused', failure: createFailure('log-unavailable', `The log is unavailable, and a run of service "${service.name}" must be recorded in it first`, {retryAfterMs: 5000})};
 	}
 
-	function isPlacedFirst(request: string, service: string): boolean {
+	function isFirstExecutor(request: string, service: string): boolean {
 		const {placement} = follower.state();
-		const placed = placement.listUpstreams().filter(member => member.serves.includes(service)).map(member => member.daemon);
-		return rankByRendezvous(request, placed)[0] === self.id;
+		const executors = placement.listUpstreams().filter(member => member.serves.includes(service)).map(member => member.daemon);
+		return rankByRendezvous(request, executors)[0] === self.id;
 	}
 
 	/**
-	 * Takes up a right that this incarnation has had before.
+	 * Reuses a permit that this incarnation obtained before.
 	 *
-	 * The register outlives the request table, which is bounded: a retry that
-	 * the table has forgotten would find the right still its own and run
-	 * again. Only what is known not to have run may start; that memory is
-	 * bounded too, and forgetting there only makes the answer "unknown".
+	 * The run records in the log outlive the bounded request table. A retry of a
+	 * request that the table has dropped would find the run record of this
+	 * incarnation and run again, so only a request in `notRun` may start. That
+	 * set is bounded too; a request dropped from it gets the outcome "unknown".
 	 */
-	function takeUpRight(request: string): RunRight {
-		const right = explainOwnRight(request);
+	function reusePermit(request: string): RunPermit {
+		const permit = checkOwnPermit(request);
 		notRun.delete(request);
-		return right;
+		return permit;
 	}
 
-	function explainOwnRight(request: string): RunRight {
-		return notRun.has(request) ? {kind: 'mine'} : {kind: 'refused', failure: createFailure('outcome-unknown', 'The request was given to this upstream daemon before and is no longer known to it', {ran: 'unknown'})};
+	function checkOwnPermit(request: string): RunPermit {
+		return notRun.has(request)
+			? {kind: 'mine'}
+			: {kind: 'refused', failure: createFailure('outcome-unknown', 'The request was assigned to this upstream daemon before, but its outcome is no longer stored', {ran: 'unknown'})};
 	}
 
-	function findRight(request: string): RunRight | undefined {
-		const known = readRight(request);
-		return known?.kind === 'mine' ? explainOwnRight(request) : known;
+	function findPermit(request: string): RunPermit | undefined {
+		const known = readPermit(request);
+		return known?.kind === 'mine' ? checkOwnPermit(request) : known;
 	}
 
-	function noteNotRun(request: string): void {
+	function markNotRun(request: string): void {
 		notRun.add(request);
 		for (const oldest of notRun) {
-			if (notRun.size <= notRunLimit) {
+			if (notRun.size <= maxNotRun) {
 				return;
 			}
 
@@ -129,32 +135,32 @@
 	}
 
 	/**
-	 * Asks the log who may run a request.
+	 * Obtains a permit for a request by appending a run record to the log.
 	 *
-	 * Two entries that cannot see each other may send one request to two
-	 * executors. Both append; the first record on the log decides, and the
-	 * other executor reads it back before it would have run anything.
+	 * Two entry daemons that cannot reach each other may send the same request
+	 * to two upstream daemons. Both append a run record, and the first one in the
+	 * log decides: each reads the records back before it runs anything.
 	 */
-	async function obtainRight(request: string, service: Service): Promise<RunRight> {
-		const known = readRight(request);
+	async function obtainPermit(request: string, service: Service): Promise<RunPermit> {
+		const known = readPermit(request);
 		if (known) {
-			return known.kind === 'mine' ? takeUpRight(request) : known;
+			return known.kind === 'mine' ? reusePermit(request) : known;
 		}
 
 		if (!follower.isLogUp()) {
-			return obtainWithoutLog(request, service);
+			return obtainPermitWithoutLog(request, service);
 		}
 
 		await writer.commit({
 			kind: 'run', request, daemon: self.id, incarnation: self.incarnation,
-		}, {isFolded: state => state.runs.has(request), signal: AbortSignal.timeout(recordBound)});
-		const right = readRight(request) ?? obtainWithoutLog(request, service);
-		// The record may still come to stand on the log; the request has not run under it.
-		if (right.kind === 'refused') {
-			noteNotRun(request);
+		}, {isFolded: state => state.runs.has(request), signal: AbortSignal.timeout(recordTimeoutMs)});
+		const permit = readPermit(request) ?? obtainPermitWithoutLog(request, service);
+		// The record may still reach the log later, although the request has not run under it.
+		if (permit.kind === 'refused') {
+			markNotRun(request);
 		}
 
-		return right;
+		return permit;
 	}
 
 	async function callService(work: ServiceWork): Promise<Result<undefined, Failure>> {
@@ -172,29 +178,29 @@
 		return Ok(undefined);
 	}
 
-	async function recordLate(): Promise<void> {
-		await Promise.all([...unrecorded].map(async ([request, incarnation]) => {
+	async function recordPendingRuns(): Promise<void> {
+		await Promise.all([...unrecordedRuns].map(async ([request, incarnation]) => {
 			const result = await writer.commit({
 				kind: 'run', request, daemon: self.id, incarnation,
-			}, {isFolded: state => state.runs.has(request), signal: AbortSignal.timeout(recordBound)});
+			}, {isFolded: state => state.runs.has(request), signal: AbortSignal.timeout(recordTimeoutMs)});
 			if (result.ok) {
-				unrecorded.delete(request);
+				unrecordedRuns.delete(request);
 			}
 		}));
 	}
 
 	return {
-		obtainRight,
-		/** What the log says of a request's right to run, without asking for one; undefined when it knows of none. */
-		findRight,
-		/** Notes that a request with the right to run was refused before it ran. */
-		noteNotRun,
+		obtainRight: obtainPermit,
+		/** Reads a request's permit from the log without obtaining one; undefined if the log has no run record of it. */
+		findPermit,
+		/** Records that a request with a permit was refused before it ran, so that a retry may run. */
+		markNotRun,
 
-		/** Runs one call; the outcome is in the request. */
+		/** Runs one call and stores the outcome in the request. */
 		async run(work: ServiceWork): Promise<void> {
 			const {request} = work;
 			if (clock.now() >= work.deadline) {
-				noteNotRun(request.id);
+				markNotRun(request.id);
 				request.fail(createFailure('deadline-passed', 'The deadline passed before the call was sent'));
 				return;
 			}
@@ -206,21 +212,21 @@
 				}
 
 				if (outcome.val.ran === 'no') {
-					noteNotRun(request.id);
+					markNotRun(request.id);
 				}
 
 				request.fail(outcome.val);
 			}
 		},
 
-		/** Records, once the log is back, what ran without a record. */
+		/** Appends the missing run records once the log is available again. */
 		async runRecorder(signal: AbortSignal): Promise<void> {
 			while (!signal.aborted) {
-				if (follower.isLogUp() && unrecorded.size > 0) {
-					await recordLate();
+				if (follower.isLogUp() && unrecordedRuns.size > 0) {
+					await recordPendingRuns();
 				}
 
-				await clock.sleep(roundPause, signal);
+				await clock.sleep(recordIntervalMs, signal);
 			}
 		},
 	};
--- a/src/coordination/upstream-desk.ts
+++ b/src/coordination/upstream-desk.ts
@@ -1,6 +1,6 @@
 /**
- * The upstream daemon's side of a request: finds it in the table, starts it
- * when it is new and may run, and follows its frames.
+ * Executes requests on an upstream daemon: finds a request in the request
+ * table, starts it if it is new and allowed to run, and streams its chunks.
  *
  * @module
  */
@@ -9,126 +9,127 @@
 } from '../protocol/mod.js';
 import {formatIncarnation, type RequestTable, type TrackedRequest} from '../state/mod.js';
 import type {Clock} from '../transport/mod.js';
+import {createChangeWaiter} from './change-waiter.js';
 import type {LogFollower} from './log-follower.js';
 import type {Self} from './membership.js';
 import type {ModelRunner} from './model-runner.js';
 import type {ReceiptReporter} from './receipt-reporter.js';
-import type {RunRight, ServiceRunner} from './service-runner.js';
-import {createWakeUp} from './wake-up.js';
+import type {RunPermit, ServiceRunner} from './service-runner.js';
 import type {WorkQueue} from './work-queue.js';
 
 /** Options of {@linkcode createUpstreamDesk}. */
-export type CreateUpstreamDeskOptions = {
+export type CreateRequestExecutorOptions = {
 	readonly self: Self;
 	readonly table: RequestTable;
 	readonly queue: WorkQueue;
 	readonly follower: LogFollower;
 	readonly reporter: ReceiptReporter;
-	/** Set on a daemon before an engine. */
+	/** Set on a daemon that serves a model engine. */
 	readonly models?: ModelRunner;
-	/** Set on a daemon before a plain service. */
+	/** Set on a daemon that serves a plain service. */
 	readonly services?: ServiceRunner;
 	readonly clock: Clock;
 	readonly events: EventLog;
 };
 
-/** One item of a followed request. */
+/** One item of a request's stream; `progress` is sent while there is no new chunk. */
 export type FollowedItem =
 	| {readonly kind: 'chunk'; readonly sequence: number; readonly chunk: Uint8Array}
 	| {readonly kind: 'progress'};
 
 type FinishRunOptions = {
-	readonly leave: () => void;
-	/** True when running the request again does no harm. */
+	readonly leaveQueue: () => void;
+	/** True if a second run of the request is harmless. */
 	readonly mayRepeat: boolean;
 };
 
-/** What became of an attempt, for the entry that lost it. */
+/** State and cost of an attempt, as reported to the entry daemon that gave up on it. */
 export type FenceOutcome = {
 	readonly state: 'fenced' | 'running' | 'done';
 	readonly billed: readonly GrantShare[];
 };
 
-/** The upstream daemon's side of requests. */
+/** Executes requests on an upstream daemon. */
 export type UpstreamDesk = ReturnType<typeof createUpstreamDesk>;
 
-const elsewhereRetryAfter = 1000;
+const heldElsewhereRetryAfterMs = 1000;
 
 /** @internal */
-function formatAttempt(requestId: string, attempt: number): string {
+function formatAttemptKey(requestId: string, attempt: number): string {
 	return `${requestId}/${attempt}`;
 }
 
 /** @internal */
-function explainRight(right: Exclude<RunRight, {readonly kind: 'mine'}>): Failure {
-	if (right.kind === 'refused') {
-		return right.failure;
+function createPermitFailure(permit: Exclude<RunPermit, {readonly kind: 'mine'}>): Failure {
+	if (permit.kind === 'refused') {
+		return permit.failure;
 	}
 
-	return createFailure('outcome-unknown', `The log gave the request to upstream daemon "${right.run.daemon}"`, {
-		ran: 'unknown', retryAfterMs: elsewhereRetryAfter, heldBy: formatIncarnation(right.run.daemon, right.run.incarnation),
+	return createFailure('outcome-unknown', `The log assigns the request to upstream daemon "${permit.run.daemon}"`, {
+		ran: 'unknown', retryAfterMs: heldElsewhereRetryAfterMs, heldBy: formatIncarnation(permit.run.daemon, permit.run.incarnation),
 	});
 }
 
 /**
- * Creates the desk.
+ * Creates the request executor of an upstream daemon.
  *
  * @example
  * ```ts
- * const request = await desk.open(runRequest);
+ * const request = await executor.open(runRequest);
  * ```
  *
- * @param options The daemon's table, queue, runners and log
- * @returns The desk
+ * @param options The daemon's request table, queue, runners and log
+ * @returns The request executor
  */
-export function createUpstreamDesk(options: CreateUpstreamDeskOptions) {
+export function createUpstreamDesk(options: CreateRequestExecutorOptions) {
 	const {
 		self, table, queue, follower, reporter, clock, events,
 	} = options;
 	const opening = new Map<string, Promise<Result<TrackedRequest, Failure>>>();
 	const deliveries = new Map<string, symbol>();
 
-	function isJoined(): boolean {
+	function isRegistered(): boolean {
 		return follower.state().placement.isCurrent(self.id, self.incarnation);
 	}
 
-	function explainLeaving(): Failure | undefined {
+	function findLeavingFailure(): Failure | undefined {
 		return self.isLeaving ? createFailure('leaving', `Upstream daemon "${self.id}" is stopping`, {retryAfterMs: 1000}) : undefined;
 	}
 
-	function explainRefusal(run: RunRequest): Failure | undefined {
-		// Closing a grant waits for the incarnations on the log; work that an unknown one ran would be missed.
-		if (!isJoined()) {
-			return createFailure('not-ready', `Upstream daemon "${self.id}" is not on the log yet`, {retryAfterMs: 1000});
+	function findRefusal(run: RunRequest): Failure | undefined {
+		// Closing a grant waits for the incarnations recorded in the log, and would miss work run by an unrecorded one.
+		if (!isRegistered()) {
+			return createFailure('not-ready', `Upstream daemon "${self.id}" is not registered in the log yet`, {retryAfterMs: 1000});
 		}
 
 		if (table.isFenced(run.requestId, run.attempt)) {
-			return createFailure('grant-closed', 'This attempt was given up on and must not start');
+			return createFailure('grant-closed', `Attempt ${run.attempt} was abandoned before it started`);
 		}
 
 		const grant = reporter.findFenced(run.shares, run.knownOffset);
 		return grant === undefined ? undefined : createFailure('grant-closed', `Grant "${grant}" is closed`);
 	}
 
-	function openTracked(run: RunRequest): TrackedRequest {
+	function trackRequest(run: RunRequest): TrackedRequest {
 		return table.open(run.requestId, {
 			attempt: run.attempt, incarnation: self.incarnation, payloadDigest: run.payloadDigest,
 			shares: run.shares.map(({grant, amount}) => ({grant, amount})),
 		});
 	}
 
-	// Runs in a task of its own: the request goes on when the connection that brought it is lost.
-	async function finishRun(request: TrackedRequest, work: Promise<void>, {leave, mayRepeat}: FinishRunOptions): Promise<void> {
+	// Not awaited by the caller: the request continues to run when the connection that delivered it breaks.
+	async function finishRun(request: TrackedRequest, work: Promise<void>, {leaveQueue, mayRepeat}: FinishRunOptions): Promise<void> {
 		try {
 			await work;
 		} catch (error) {
-			request.fail(createFailure('internal', `The upstream daemon failed: ${(error as Error).message}`, {ran: 'unknown'}));
+			request.fail(createFailure('internal', `The upstream daemon could not run the request: ${(error as Error).message}`, {ran: 'unknown'}));
 		}
 
-		leave();
-		// A failed run that may be repeated is forgotten, so that a retry runs anew; one that may not is kept to be told.
-		const isOver = request.end ?? (mayRepeat && request.billed.length === 0 ? undefined : request.failure);
-		if (isOver && request.failure?.ran !== 'no') {
+		leaveQueue();
+		// An unbilled failed run that may be repeated is removed, so that a retry starts a new run. Any other failure is kept,
+		// so that a retry receives it instead of running again.
+		const finalOutcome = request.end ?? (mayRepeat && request.billed.length === 0 ? undefined : request.failure);
+		if (finalOutcome && request.failure?.ran !== 'no') {
 			table.close(request);
 		} else {
 			table.forget(request);
@@ -136,23 +137,23 @@
 	}
 
 	async function startModel(run: RunRequest): Promise<Result<TrackedRequest, Failure>> {
-		const turn = await queue.enter({priority: run.priority, remaining: run.remainingMs});
-		if (turn.err) {
-			return turn;
+		const entered = await queue.enter({priority: run.priority, remainingMs: run.remainingMs});
+		if (entered.err) {
+			return entered;
 		}
 
-		// The queue may have held the request past a stop, a fence or the close of its grant.
-		const refusal = explainLeaving() ?? explainRefusal(run);
+		// The daemon may have begun to stop, or the attempt may have been fenced or its grant closed, while the request was queued.
+		const refusal = findLeavingFailure() ?? findRefusal(run);
 		if (refusal) {
-			turn.val();
+			entered.val();
 			return Err(refusal);
 		}
 
-		const request = openTracked(run);
+		const request = trackRequest(run);
 		const work = options.models!.run({
 			request, payload: run.payload, priority: run.priority, deadline: clock.now() + run.remainingMs,
 		});
-		void finishRun(request, work, {leave: turn.val, mayRepeat: true});
+		void finishRun(request, work, {leaveQueue: entered.val, mayRepeat: true});
 		return Ok(request);
 	}
 
@@ -164,30 +165,30 @@
 
 		const deadline = clock.now() + run.remainingMs;
 		if (!service.idempotent) {
-			const right = await options.services!.obtainRight(run.requestId, service);
-			if (right.kind !== 'mine') {
-				return Err(explainRight(right));
+			const permit = await options.services!.obtainRight(run.requestId, service);
+			if (permit.kind !== 'mine') {
+				return Err(createPermitFailure(permit));
 			}
 		}
 
-		// A stop that began meanwhile is no reason to refuse: the log has given the request to this daemon alone, and would
-		// refuse it to every other. The stop waits for what is opening.
-		const refusal = explainRefusal(run);
+		// A stop that began in the meantime is no reason to refuse: the log assigns the request to this daemon alone, so every
+		// other daemon would refuse it. Stopping waits for the requests in `opening`.
+		const refusal = findRefusal(run);
 		if (refusal) {
-			options.services!.noteNotRun(run.requestId);
+			options.services!.markNotRun(run.requestId);
 			return Err(refusal);
 		}
 
-		const request = openTracked(run);
+		const request = trackRequest(run);
 		const work = options.services!.run({
 			request, service, payload: run.payload, deadline,
 		});
-		void finishRun(request, work, {leave: () => undefined, mayRepeat: service.idempotent});
+		void finishRun(request, work, {leaveQueue: () => undefined, mayRepeat: service.idempotent});
 		return Ok(request);
 	}
 
 	async function start(run: RunRequest): Promise<Result<TrackedRequest, Failure>> {
-		const refusal = explainLeaving() ?? explainRefusal(run);
+		const refusal = findLeavingFailure() ?? findRefusal(run);
 		if (refusal) {
 			return Err(refusal);
 		}
@@ -195,11 +196,11 @@
 		return run.work === Work.MODEL ? startModel(run) : startService(run);
 	}
 
-	// Two copies of one request may arrive together; the second waits for the first one's start and attaches.
+	// Two copies of a request may arrive concurrently. The second waits until the first has started and attaches to its run.
 	async function startOnce(run: RunRequest): Promise<Result<TrackedRequest, Failure>> {
-		const running = opening.get(run.requestId);
-		if (running) {
-			return running;
+		const pending = opening.get(run.requestId);
+		if (pending) {
+			return pending;
 		}
 
 		const started = start(run);
@@ -211,37 +212,37 @@
 		}
 	}
 
-	// A request that waits for its turn is found too. One whose run record stands on the log and that is not known here may
-	// have run, which its caller is told whatever its budget.
-	async function findOpening(run: RunRequest): Promise<Result<TrackedRequest, Failure>> {
-		const running = opening.get(run.requestId);
-		if (running) {
-			return running;
+	// Also finds a request that is still starting. If the log has a run record for a request that is unknown here, the
+	// request may have run; the caller receives that outcome even if its budget is used up.
+	async function findEarlierRun(run: RunRequest): Promise<Result<TrackedRequest, Failure>> {
+		const pending = opening.get(run.requestId);
+		if (pending) {
+			return pending;
 		}
 
-		const right = options.services?.findRight(run.requestId);
-		return Err(right && right.kind !== 'mine'
-			? explainRight(right)
-			: createFailure('unknown-object', `Upstream daemon "${self.id}" knows no request "${run.requestId}"`));
+		const permit = options.services?.findPermit(run.requestId);
+		return Err(permit && permit.kind !== 'mine'
+			? createPermitFailure(permit)
+			: createFailure('unknown-object', `Upstream daemon "${self.id}" has no request "${run.requestId}"`));
 	}
 
 	return {
-		/** Finds the request, or starts it unless it should only attach. */
+		/** Finds the request, or starts it unless the caller only wants to attach to an earlier run. */
 		async open(run: RunRequest): Promise<Result<TrackedRequest, Failure>> {
 			const lookup = table.get(run.requestId);
 			if (lookup.kind === 'gone') {
-				return Err(createFailure('answer-gone', 'The request ran and its answer is no longer kept', {ran: 'yes'}));
+				return Err(createFailure('answer-gone', 'The request ran, but its answer is no longer stored', {ran: 'yes'}));
 			}
 
-			const found = lookup.kind === 'tracked' ? Ok(lookup.request) : await (run.attachOnly ? findOpening(run) : startOnce(run));
+			const found = lookup.kind === 'tracked' ? Ok(lookup.request) : await (run.attachOnly ? findEarlierRun(run) : startOnce(run));
 			if (found.err) {
 				return found;
 			}
 
-			// Checked last: a request that still waited for its turn when this one came is known by its key alone until then.
+			// Checked last because a request that is still starting is known by its ID alone, without its payload digest.
 			const request = found.val;
 			if (request.payloadDigest !== run.payloadDigest) {
-				return Err(createFailure('key-reused', 'The idempotency key was used with another body'));
+				return Err(createFailure('key-reused', 'The idempotency key was already used with a different body'));
 			}
 
 			if (run.fromSequence === 0 && run.attempt !== request.attempt) {
@@ -251,13 +252,13 @@
 			return found;
 		},
 
-		/** Follows a request's chunks from a sequence on; tells of progress when nothing else was sent for a second. */
+		/** Yields the request's chunks from a sequence number on, and a progress item for each second without a new chunk. */
 		async * follow(request: TrackedRequest, fromSequence: number): AsyncGenerator<FollowedItem> {
-			const wakeUp = createWakeUp(request);
+			const waiter = createChangeWaiter(request);
 			try {
 				let sequence = fromSequence;
 				for (;;) {
-					const changed = wakeUp.next();
+					const changed = waiter.wait();
 					while (sequence < request.chunks.length) {
 						yield {kind: 'chunk', sequence, chunk: request.chunks[sequence]!};
 						sequence += 1;
@@ -272,21 +273,22 @@
 					}
 				}
 			} finally {
-				wakeUp.stop();
+				waiter.stop();
 			}
 		},
 
 		/**
-		 * Notes that a call brings an attempt's frames to its entry; what it
-		 * returns ends the note.
+		 * Records that a call delivers an attempt's frames to its entry daemon.
+		 * Returns a function that ends the record.
 		 *
-		 * A run that has ended is not delivered yet: flow control holds back
-		 * what an entry has not read, and a stop that counts runs alone closes
-		 * the connection over it. An entry whose connection fell silent calls
-		 * anew, and the old call may never end; so the newest one counts.
+		 * A stop waits for deliveries as well as for runs: after a run has ended,
+		 * flow control may still hold back frames that the entry daemon has not
+		 * read, and they would be lost if the connection were closed. An entry
+		 * daemon whose connection became unresponsive opens a new call, and the old
+		 * one may never end; so only an attempt's newest call is counted.
 		 */
 		beginDelivery({requestId, attempt}: Pick<RunRequest, 'requestId' | 'attempt'>): () => void {
-			const key = formatAttempt(requestId, attempt);
+			const key = formatAttemptKey(requestId, attempt);
 			const call = Symbol(key);
 			deliveries.set(key, call);
 			return () => {
@@ -298,13 +300,13 @@
 
 		countDeliveries: () => deliveries.size,
 
-		/** Counts the requests taken that do not run yet: they wait for their turn or for the right to run. */
+		/** Counts the accepted requests that do not run yet: those in the queue or waiting for a permit. */
 		countOpening: () => opening.size,
 
-		/** Tells an entry what its lost attempt cost, and keeps it from starting when it has not. */
+		/** Reports the state and cost of an attempt that its entry daemon gave up on, and prevents it from starting later. */
 		fence(requestId: string, attempt: number): FenceOutcome {
-			// The entry has given up on the attempt and reads none of its frames any more.
-			deliveries.delete(formatAttempt(requestId, attempt));
+			// The entry daemon no longer reads frames of an attempt that it gave up on.
+			deliveries.delete(formatAttemptKey(requestId, attempt));
 			table.fence(requestId, attempt);
 			const lookup = table.get(requestId);
 			if (lookup.kind === 'unknown' || (lookup.kind === 'gone' && lookup.attempt !== attempt)) {
@@ -323,7 +325,7 @@
 			return request.isEnded() ? {state: 'done', billed: request.billed} : {state: 'running', billed: []};
 		},
 
-		/** Stops a request whose caller has left. */
+		/** Aborts a request whose caller has disconnected. */
 		cancel(requestId: string, attempt: number): void {
 			const lookup = table.get(requestId);
 			if (lookup.kind === 'tracked' && lookup.request.attempt === attempt) {
--- a/src/coordination/work-queue.test.ts
+++ b/src/coordination/work-queue.test.ts
@@ -4,27 +4,27 @@
 
 const clock = createSystemClock();
 
-test('enter() refuses at once when the queue is full, with when to come back', async () => {
+test('enter() refuses a request at once if the queue is full', async () => {
 	const queue = createWorkQueue({capacity: 1, limit: 0, clock});
-	const first = await queue.enter({priority: 5, remaining: 1000});
+	const first = await queue.enter({priority: 5, remainingMs: 1000});
 	expect(first.ok).toBe(true);
-	const second = await queue.enter({priority: 5, remaining: 100_000});
+	const second = await queue.enter({priority: 5, remainingMs: 100_000});
 	expect(second.val).toMatchObject({type: 'overloaded', ran: 'no'});
 });
 
-test('enter() refuses early a request whose deadline would pass in the queue', async () => {
+test('enter() refuses a request at once if its deadline would pass in the queue', async () => {
 	const queue = createWorkQueue({capacity: 1, limit: 10, clock});
-	await queue.enter({priority: 5, remaining: 1000});
-	const late = await queue.enter({priority: 5, remaining: 10});
+	await queue.enter({priority: 5, remainingMs: 1000});
+	const late = await queue.enter({priority: 5, remainingMs: 10});
 	expect(late.val).toMatchObject({type: 'overloaded'});
 });
 
-test('enter() lets higher priority go first', async () => {
+test('enter() runs requests of higher priority first', async () => {
 	const queue = createWorkQueue({capacity: 1, limit: 10, clock});
-	const turn = await queue.enter({priority: 5, remaining: 60_000});
+	const turn = await queue.enter({priority: 5, remainingMs: 60_000});
 	const order: string[] = [];
 	const enter = async (name: string, priority: number) => {
-		const entered = await queue.enter({priority, remaining: 60_000});
+		const entered = await queue.enter({priority, remainingMs: 60_000});
 		order.push(name);
 		(entered.val as () => void)();
 	};
--- a/src/coordination/work-queue.ts
+++ b/src/coordination/work-queue.ts
@@ -1,6 +1,6 @@
 /**
- * Bounds the requests that run at an upstream, and refuses early those that
- * would wait past their deadline.
+ * A priority queue that limits the requests running at an upstream, and refuses
+ * requests that would wait past their deadline.
  *
  * @module
  */
@@ -11,22 +11,22 @@
 
 /** Options of {@linkcode createWorkQueue}. */
 export type CreateWorkQueueOptions = {
-	/** Requests that run at once. */
+	/** Largest number of requests that run concurrently. */
 	readonly capacity: number;
-	/** Requests that may wait. */
+	/** Largest number of requests that wait. */
 	readonly limit: number;
 	readonly clock: Clock;
 };
 
 /** Options of {@linkcode WorkQueue.enter}. */
 export type EnterOptions = {
-	/** Requests of higher priority go first. */
+	/** Requests of higher priority run first. */
 	readonly priority: number;
-	/** Milliseconds until the request's deadline. */
-	readonly remaining: number;
+	/** Time until the request's deadline. */
+	readonly remainingMs: number;
 };
 
-/** Ends one request's turn. */
+/** Removes a request from the running ones and starts the next. */
 export type LeaveQueue = () => void;
 
 type Waiting = {
@@ -34,47 +34,47 @@
 	readonly start: () => void;
 };
 
-/** A bounded queue. */
+/** A bounded priority queue. */
 export type WorkQueue = ReturnType<typeof createWorkQueue>;
 
-const initialServiceTime = 1000;
-const learningRate = 0.1;
-const shortestRetryAfter = 1000;
+const initialServiceMs = 1000;
+const smoothingFactor = 0.1;
+const minRetryAfterMs = 1000;
 
 /**
- * Creates a queue.
+ * Creates an empty queue.
  *
  * @example
  * ```ts
- * const turn = await queue.enter({priority: 5, remaining: 2000});
+ * const entered = await queue.enter({priority: 5, remainingMs: 2000});
  * ```
  *
- * @param options Bounds and clock
+ * @param options Limits and clock
  * @returns The queue
  */
 export function createWorkQueue(options: CreateWorkQueueOptions) {
-	const {capacity, limit, clock} = options;
+	const {capacity: maxRunning, limit: maxWaiting, clock} = options;
 	const waiting: Waiting[] = [];
 	let running = 0;
-	let serviceTime = initialServiceTime;
+	let averageServiceMs = initialServiceMs;
 
 	function startNext(): void {
 		const next = waiting.shift();
 		next?.start();
 	}
 
-	function beginTurn(): LeaveQueue {
+	function startRunning(): LeaveQueue {
 		running += 1;
 		const startedAt = clock.now();
 		return () => {
 			running -= 1;
-			serviceTime += learningRate * (clock.now() - startedAt - serviceTime);
+			averageServiceMs += smoothingFactor * (clock.now() - startedAt - averageServiceMs);
 			startNext();
 		};
 	}
 
-	function estimateWait(): number {
-		return running < capacity ? 0 : (waiting.length + 1) * serviceTime / capacity;
+	function estimateWaitMs(): number {
+		return running < maxRunning ? 0 : (waiting.length + 1) * averageServiceMs / maxRunning;
 	}
 
 	function insert(item: Waiting): void {
@@ -82,42 +82,42 @@
 		waiting.splice(index === -1 ? waiting.length : index, 0, item);
 	}
 
-	function refuse(wait: number): Result<LeaveQueue, Failure> {
-		const detail = `The upstream runs ${running} requests and ${waiting.length} wait; the wait would be about ${Math.round(wait)} ms`;
-		return Err(createFailure('overloaded', detail, {retryAfterMs: Math.max(shortestRetryAfter, wait)}));
+	function refuse(waitMs: number): Result<LeaveQueue, Failure> {
+		const detail = `The upstream is running ${running} requests and ${waiting.length} are waiting; the expected wait is ${Math.round(waitMs)} ms`;
+		return Err(createFailure('overloaded', detail, {retryAfterMs: Math.max(minRetryAfterMs, waitMs)}));
 	}
 
 	return {
-		/** Waits for a turn; refuses at once when the queue is full or the wait would pass the deadline. */
+		/** Waits until the request may run; refuses it at once if the queue is full or the expected wait exceeds its deadline. */
 		async enter(enter: EnterOptions): Promise<Result<LeaveQueue, Failure>> {
-			if (running < capacity) {
-				return Ok(beginTurn());
+			if (running < maxRunning) {
+				return Ok(startRunning());
 			}
 
-			const wait = estimateWait();
-			if (waiting.length >= limit || wait > enter.remaining) {
-				return refuse(wait);
+			const waitMs = estimateWaitMs();
+			if (waiting.length >= maxWaiting || waitMs > enter.remainingMs) {
+				return refuse(waitMs);
 			}
 
-			const deadline = clock.now() + enter.remaining;
-			const turn = await new Promise<LeaveQueue>(resolve => {
+			const deadline = clock.now() + enter.remainingMs;
+			const leave = await new Promise<LeaveQueue>(resolve => {
 				insert({
 					priority: enter.priority,
 					start() {
-						resolve(beginTurn());
+						resolve(startRunning());
 					},
 				});
 			});
 			if (clock.now() > deadline) {
-				turn();
-				return Err(createFailure('deadline-passed', `The request waited past its deadline of ${Math.round(enter.remaining)} ms`));
+				leave();
+				return Err(createFailure('deadline-passed', `The request waited in the queue past its deadline of ${Math.round(enter.remainingMs)} ms`));
 			}
 
-			return Ok(turn);
+			return Ok(leave);
 		},
 
 		countRunning: () => running,
 		countWaiting: () => waiting.length,
-		estimateWait,
+		estimateWaitMs,
 	};
 }
