--- a/src/coordination/budget-homes.ts
+++ b/src/coordination/budget-homes.ts
@@ -1,14 +1,17 @@
 /**
- * Which gateway claims a customer's budget.
+ * Determines the owner of a customer's budget: the gateway that claims it on
+ * behalf of the others.
  *
- * Claims of all gateways go to one log, each under the condition that nobody
- * else has written. In a small fleet each gateway claims what its own callers
- * need. In a larger one few callers of a customer come to each gateway, so
- * claims would be as many as requests, and most would collide; there one
- * gateway claims for all, and the others borrow from it.
+ * All gateways append their claims to one log, each on the condition that no
+ * other writer has appended since its last read. In a small fleet each gateway
+ * claims what its own callers need. In a larger fleet each gateway serves few
+ * callers of a customer, so there would be as many claims as requests and most
+ * would collide. There one gateway claims for all, and the others borrow
+ * from it.
  *
- * A home only saves claims: any gateway may claim, and two that take
- * themselves for the home claim less well but never too much.
+ * Ownership only reduces the number of claims. Any gateway may claim, and two
+ * that both consider themselves the owner claim less efficiently but never too
+ * much.
  *
  * @module
  */
@@ -16,42 +19,41 @@
 import {rankByRendezvous} from './rendezvous.js';
 
 /** Options of {@linkcode createBudgetHomes}. */
-export type CreateBudgetHomesOptions = {
+export type CreateBudgetOwnersOptions = {
 	readonly clock: Clock;
 	/** This gateway's name. */
 	readonly daemon: string;
-	/** The other gateways that are presumed to be up. */
+	/** Returns the other gateways that are presumed to be up. */
 	readonly listPeers: () => readonly string[];
 };
 
-/** Which gateway claims a customer's budget. */
-export type BudgetHomes = ReturnType<typeof createBudgetHomes>;
+/** Determines which gateway claims a customer's budget. */
+export type BudgetOwners = ReturnType<typeof createBudgetHomes>;
 
-/** Gateways of a fleet in which each claims for itself. */
-const smallFleet = 4;
-/** How long a list of gateways is used, in milliseconds. */
-const listLife = 250;
+/** Largest number of gateways with which each claims for itself. */
+const maxSmallFleetSize = 4;
+const listLifetimeMs = 250;
 
 /**
- * Creates the order of homes.
+ * Creates the assignment of budgets to gateways.
  *
  * @example
  * ```ts
- * const homes = createBudgetHomes({clock, daemon: 'entry-1', listPeers});
- * homes.isHome('city-1');
+ * const owners = createBudgetHomes({clock, daemon: 'entry-1', listPeers});
+ * owners.isHome('city-1');
  * ```
  *
- * @param options Gateways
- * @returns The order
+ * @param options This gateway and its peers
+ * @returns The assignment
  */
-export function createBudgetHomes(options: CreateBudgetHomesOptions) {
+export function createBudgetHomes(options: CreateBudgetOwnersOptions) {
 	const {clock, daemon} = options;
-	const ranked = new Map<string, readonly string[]>();
+	const rankedByCustomer = new Map<string, readonly string[]>();
 	let gateways: readonly string[] = [daemon];
 	let listedAt = Number.NEGATIVE_INFINITY;
 
-	function renewList(): void {
-		if (clock.now() - listedAt < listLife) {
+	function refreshGateways(): void {
+		if (clock.now() - listedAt < listLifetimeMs) {
 			return;
 		}
 
@@ -59,29 +61,29 @@
 		const listed = [...options.listPeers(), daemon].sort();
 		if (listed.join(' ') !== gateways.join(' ')) {
 			gateways = listed;
-			ranked.clear();
+			rankedByCustomer.clear();
 		}
 	}
 
-	function isSmall(): boolean {
-		renewList();
-		return gateways.length <= smallFleet;
+	function isSmallFleet(): boolean {
+		refreshGateways();
+		return gateways.length <= maxSmallFleetSize;
 	}
 
-	function rank(customer: string): readonly string[] {
-		const known = ranked.get(customer) ?? rankByRendezvous(customer, gateways);
-		ranked.set(customer, known);
-		return known;
+	function rankGateways(customer: string): readonly string[] {
+		const ranked = rankedByCustomer.get(customer) ?? rankByRendezvous(customer, gateways);
+		rankedByCustomer.set(customer, ranked);
+		return ranked;
 	}
 
 	return {
-		/** True if each gateway claims for itself. */
-		isSmall,
-		/** True if this gateway claims the customer's budget. */
-		isHome: (customer: string): boolean => isSmall() || rank(customer)[0] === daemon,
-		/** Gateways in the order in which they are the customer's home; none in a small fleet. */
-		listHomes: (customer: string): readonly string[] => isSmall() ? [] : rank(customer),
-		/** Gateways that claim the customer's budget. */
-		countClaimers: (): number => isSmall() ? gateways.length : 1,
+		/** Returns true if each gateway claims for itself. */
+		isSmallFleet,
+		/** Returns true if this gateway claims the customer's budget. */
+		isHome: (customer: string): boolean => isSmallFleet() || rankGateways(customer)[0] === daemon,
+		/** Returns the gateways in the order in which they take over the customer's budget; none in a small fleet. */
+		listHomes: (customer: string): readonly string[] => isSmallFleet() ? [] : rankGateways(customer),
+		/** Returns the number of gateways that claim the customer's budget. */
+		countClaimers: (): number => isSmallFleet() ? gateways.length : 1,
 	};
 }
--- a/src/coordination/budget-keeper.ts
+++ b/src/coordination/budget-keeper.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps a gateway in tokens of its customers' budgets: claims ahead on the
- * grants' log as much as the next seconds need, and gives back what is idle.
+ * Maintains a gateway's supply of tokens from its customers' budgets: claims
+ * the expected demand of the next seconds in the grants log, and releases
+ * tokens that are idle.
  *
  * @module
  */
@@ -11,68 +12,68 @@
 	type GrantBook, type HolderRecord, type RouteTable, type TokenAccount, type TokenReservation,
 } from '../state/mod.js';
 import type {Clock} from '../transport/mod.js';
-import type {BudgetHomes} from './budget-homes.js';
+import type {BudgetOwners} from './budget-homes.js';
 import {createDemand} from './demand.js';
 import {computeGrant} from './grant-size.js';
 import type {KeyedFollower} from './keyed-follower.js';
-import type {BorrowAsk, BorrowOutcome} from './token-lending.js';
+import type {BorrowAmounts, BorrowOutcome} from './token-lending.js';
 
-/** Who holds the grants of one gateway. */
+/** Identity under which a gateway holds its grants. */
 export type HolderIdentity = Pick<HolderRecord, 'role' | 'daemon' | 'incarnation' | 'address' | 'newsAddress' | 'failureDomain'>;
 
 /** Options of {@linkcode BudgetKeeper.acquire}. */
 export type AcquireTokensOptions = {
-	/** Milliseconds that a claim may take. */
+	/** Timeout of a claim, in milliseconds. */
 	readonly patience: number;
-	/** The request's id, for the log. */
+	/** ID of the request, for log events. */
 	readonly request?: string;
 };
 
 /** Borrows tokens from other gateways. */
-export type BorrowTokens = (customer: string, ask: BorrowAsk) => Promise<BorrowOutcome>;
+export type BorrowTokens = (customer: string, amounts: BorrowAmounts) => Promise<BorrowOutcome>;
 
 /** Options of {@linkcode createBudgetKeeper}. */
-export type CreateBudgetKeeperOptions = {
+export type CreateBudgetManagerOptions = {
 	readonly self: HolderIdentity;
 	readonly log: KeyedLog;
 	readonly follower: KeyedFollower;
 	readonly book: GrantBook;
 	readonly account: TokenAccount;
-	/** The deployment in force; undefined before the first is known. */
+	/** Returns the routes and customers of the deployment in force; undefined before the first one is known. */
 	readonly findTable: () => RouteTable | undefined;
 	readonly borrow: BorrowTokens;
-	/** Which gateway claims a customer's budget. */
-	readonly homes: Pick<BudgetHomes, 'isHome' | 'isSmall' | 'countClaimers'>;
+	/** Determines which gateway claims a customer's budget. */
+	readonly homes: Pick<BudgetOwners, 'isHome' | 'isSmallFleet' | 'countClaimers'>;
 	readonly clock: Clock;
 	readonly events: EventLog;
 	readonly signal: AbortSignal;
 };
 
-/** Keeps a gateway in tokens. */
+/** Manages the tokens of one gateway. */
 export type BudgetKeeper = ReturnType<typeof createBudgetKeeper>;
 
-/** Shortest span over which a new rate is taken, in milliseconds; a single first request must not look like a rush. */
-const rateWarmUp = 2000;
-/** Pause between rounds of claims, in milliseconds, less than a grant covers; a request that is short does not wait for it. */
-const roundEvery = 500;
-/** Times that an append is tried against other writers before it is left to the next round. */
-const appendTries = 6;
-/** Claims that take longer, in milliseconds, come after asking other gateways, who answer in 3 ms; usual ones take 10 to 20. */
-const slowClaim = 60;
-/** A refusal for good rests on what the log said at most so long ago, in milliseconds: two rounds. */
-const bookLife = 2 * roundEvery;
-/** Claiming for a gateway that asks takes at most so long, in milliseconds: less than it waits for the answer. */
-const claimForPatience = 200;
-/** A borrower asks for this many times what it lacks where each gateway claims for itself, so that its next requests need not ask. */
-const wantedFactor = 3;
-/** Demand beyond what is lacking that a loan from a budget's home covers, in milliseconds. */
-const borrowedSpan = 500;
+/** Shortest period over which a new rate is averaged, so that a single first request does not look like a burst. */
+const rateWarmUpMs = 2000;
+/** Pause between claim rounds; less than the demand that a grant covers. A request that lacks tokens does not wait for the next round. */
+const roundIntervalMs = 500;
+/** Attempts to append a record against concurrent writers before it is left to the next round. */
+const maxAppendAttempts = 6;
+/** If claims take longer than this, tokens are first borrowed from other gateways, which answer in 3 ms. A claim usually takes 10 to 20 ms. */
+const slowClaimMs = 60;
+/** A request is refused as exhausted only if the log was read within this time: two rounds. */
+const maxSyncAgeMs = 2 * roundIntervalMs;
+/** Timeout of a claim on behalf of another gateway; shorter than the time for which that gateway waits for the answer. */
+const claimForPeerTimeoutMs = 200;
+/** In a small fleet a gateway borrows this multiple of the tokens it lacks, so that its next requests need not borrow again. */
+const borrowFactor = 3;
+/** Demand that a loan from a budget's owner covers in addition to the missing tokens. */
+const borrowAheadMs = 500;
 const millisecondsPerSecond = 1000;
-/** When a caller may come back whose tokens are held by requests still running, in milliseconds. */
-const busyRetryAfter = 1000;
+/** Retry delay for a caller whose customer's tokens are reserved by running requests. */
+const busyRetryAfterMs = 1000;
 
 /**
- * Formats the key under which an incarnation's grants stand.
+ * Formats the key of an incarnation's record in the grants log.
  *
  * @example
  * ```ts
@@ -87,40 +88,40 @@
 }
 
 /**
- * Creates the keeper; `run` is its task.
+ * Creates a budget manager; `run` operates it until the signal is aborted.
  *
  * @example
  * ```ts
- * const reservation = await keeper.acquire('city-1', 1540, {patience: 300});
+ * const reservation = await manager.acquire('city-1', 1540, {patience: 300});
  * ```
  *
- * @param options The log of grants, the account and the deployment
- * @returns The keeper
+ * @param options The grants log, the token account and the deployment
+ * @returns The manager
  */
-export function createBudgetKeeper(options: CreateBudgetKeeperOptions) {
+export function createBudgetKeeper(options: CreateBudgetManagerOptions) {
 	const {
 		self, log, follower, book, account, homes, findTable, clock, events, signal,
 	} = options;
 	const key = formatHolderKey(self);
-	const demand = createDemand(clock, {warmUp: rateWarmUp});
+	const demand = createDemand(clock, {warmUpMs: rateWarmUpMs});
 	let sequence = 0;
-	let claimTime = 0;
+	let claimDurationMs = 0;
 	let roundStartedAt: number | undefined;
 	let isEnding = false;
-	let hasTakenRates = false;
-	let writing: Promise<void> | undefined;
-	/** Claims that wait for each customer, whoever its home is. */
-	const claiming = new Map<string, number>();
-
-	// Guards against a claim for each first request after a start: when all gateways lose power at once, callers of every
-	// customer come back together, and claims against the other gateways' took 50 to 600 ms each for two seconds. The rates
-	// that the incarnation before had let the first claim cover all customers.
-	function takeRates(): void {
-		if (hasTakenRates) {
+	let hasRestoredRates = false;
+	let activeRound: Promise<void> | undefined;
+	/** Number of pending claims by customer, including customers whose budget another gateway owns. */
+	const waitingClaims = new Map<string, number>();
+
+	// Restores the rates of the previous incarnation, so that the first claim covers all customers. When all gateways lose
+	// power at once, callers of every customer retry together; if each first request needed its own claim, the colliding
+	// claims would take 50 to 600 ms each for two seconds.
+	function restoreRates(): void {
+		if (hasRestoredRates) {
 			return;
 		}
 
-		hasTakenRates = true;
+		hasRestoredRates = true;
 		for (const [customer, rate] of Object.entries(book.findPredecessor(self.daemon, self.incarnation)?.rates ?? {})) {
 			if (demand.findRate(customer) === 0) {
 				demand.setRate(customer, rate / millisecondsPerSecond);
@@ -128,44 +129,44 @@
 		}
 	}
 
-	function planGrant(customer: string, bought: number): number {
+	function computeGrantTotal(customer: string, bought: number): number {
 		const {granted} = account.get(customer);
-		const isHome = homes.isHome(customer);
+		const isOwner = homes.isHome(customer);
 		return computeGrant({
 			granted,
 			bound: account.countBound(customer),
 			free: account.countFree(customer),
-			wanted: isHome || claiming.has(customer) ? demand.countWanted(customer) : 0,
-			// What others claim is borrowed as it is needed.
-			rate: isHome ? demand.findRate(customer) : 0,
-			claimTime,
+			wanted: isOwner || waitingClaims.has(customer) ? demand.countWanted(customer) : 0,
+			// Tokens of a budget that another gateway owns are borrowed on demand, not claimed ahead.
+			rate: isOwner ? demand.findRate(customer) : 0,
+			claimDurationMs,
 			available: bought - book.sumGranted(customer, key),
-			holders: homes.countClaimers(),
+			claimers: homes.countClaimers(),
 			isEnding,
 		});
 	}
 
-	// The next record, or undefined when nothing changes. A writer that knows an older deployment than another writer
-	// waits: the amounts it would claim may have been lowered since.
-	function planRecord(): HolderRecord | undefined {
+	// Returns the next record, or undefined if nothing changes or another writer has seen a newer deployment, in which
+	// budgets may have been lowered.
+	function buildNextRecord(): HolderRecord | undefined {
 		const table = findTable();
 		if (!table || book.findNewestVersion() > table.version) {
 			return undefined;
 		}
 
-		takeRates();
+		restoreRates();
 		const granted: Record<string, number> = {};
 		const rates: Record<string, number> = {};
 		let hasChanged = book.get(key) === undefined || (isEnding && !book.get(key)!.hasEnded);
 		for (const customer of new Set([...account.listCustomers(), ...(table.deployment.customers ?? []).map(({id}) => id)])) {
 			const bought = table.findCustomer(customer)?.bought;
-			// Compared with what stands on the log: a decrease applies here before it stands there.
-			const standing = book.get(key)?.granted[customer] ?? 0;
-			const wanted = bought === undefined ? account.get(customer).granted : planGrant(customer, bought);
-			hasChanged ||= wanted !== standing;
-			if (wanted > 0) {
-				granted[customer] = wanted;
-				// More is given back than was spent of late when large reservations end small.
+			// Compares with the total in the log, because a decrease takes effect in the account before it is appended.
+			const recordedTotal = book.get(key)?.granted[customer] ?? 0;
+			const nextTotal = bought === undefined ? account.get(customer).granted : computeGrantTotal(customer, bought);
+			hasChanged ||= nextTotal !== recordedTotal;
+			if (nextTotal > 0) {
+				granted[customer] = nextTotal;
+				// The rate is negative when large reservations are settled with much smaller amounts.
 				rates[customer] = Math.max(0, Math.round(demand.findRate(customer) * millisecondsPerSecond));
 			}
 		}
@@ -177,7 +178,8 @@
 			: undefined;
 	}
 
-	// Tokens are given back by not having them first: a record whose answer is lost may stand or not.
+	// Removes released tokens from the account before the record is appended: if the answer is lost, the record may be in
+	// the log, and other gateways may claim the tokens.
 	function applyDecreases(record: HolderRecord): void {
 		for (const customer of account.listCustomers()) {
 			const next = record.granted[customer] ?? 0;
@@ -187,27 +189,27 @@
 		}
 	}
 
-	// What stands on the log is read again before each claim, and when a request is short by what is known of it. A round
-	// that changes nothing reads nothing: the follower's own reads bring what others have written.
-	async function writeOnce(): Promise<'done' | 'again'> {
-		const isKnown = follower.next() !== undefined && claiming.size === 0;
-		if ((isKnown && !planRecord()) || !await follower.catchUp(signal)) {
+	// Reads the log before each claim, and whenever a request lacks tokens. A round that changes nothing does not read,
+	// because the follower's own reads bring the records of other writers.
+	async function tryWriteRecord(): Promise<'done' | 'again'> {
+		const canSkipRead = follower.next() !== undefined && waitingClaims.size === 0;
+		if ((canSkipRead && !buildNextRecord()) || !await follower.catchUp(signal)) {
 			return 'done';
 		}
 
-		const record = planRecord();
-		const at = follower.next();
-		if (!record || at === undefined) {
+		const record = buildNextRecord();
+		const nextOffset = follower.next();
+		if (!record || nextOffset === undefined) {
 			return 'done';
 		}
 
 		sequence = record.sequence;
 		applyDecreases(record);
 		const value = JSON.stringify(record);
-		const outcome = await log.append({key, value}, {at});
+		const outcome = await log.append({key, value}, {at: nextOffset});
 		switch (outcome.kind) {
 			case 'appended': {
-				claimTime = clock.now() - (roundStartedAt ?? clock.now());
+				claimDurationMs = clock.now() - (roundStartedAt ?? clock.now());
 				follower.takeOwn({key, value, offset: outcome.offset});
 				return 'done';
 			}
@@ -225,60 +227,60 @@
 	}
 
 	async function writeGrants(): Promise<void> {
-		for (let attempt = 0; attempt < appendTries && !signal.aborted; attempt += 1) {
-			if (await writeOnce() === 'done') {
+		for (let attempt = 0; attempt < maxAppendAttempts && !signal.aborted; attempt += 1) {
+			if (await tryWriteRecord() === 'done') {
 				return;
 			}
 		}
 	}
 
-	// One writer at a time; whoever asks meanwhile waits for the same round.
-	async function writeShared(): Promise<void> {
-		writing ??= (async () => {
+	// Runs one round at a time; concurrent calls wait for the same round.
+	async function renewGrants(): Promise<void> {
+		activeRound ??= (async () => {
 			roundStartedAt = clock.now();
 			try {
 				await writeGrants();
 			} finally {
-				writing = undefined;
+				activeRound = undefined;
 				roundStartedAt = undefined;
 			}
 		})();
-		return writing;
+		return activeRound;
 	}
 
-	// Demand counts from the reservation on: a stream ends seconds later, and until then a rush would not show.
+	// Counts demand when tokens are reserved: a stream is settled seconds later, and a burst would go unnoticed until then.
 	function reserve(customer: string, amount: number): TokenReservation | undefined {
 		const reservation = account.reserve(customer, amount);
 		if (reservation) {
-			demand.noteSpent(customer, amount);
+			demand.recordSpent(customer, amount);
 		}
 
 		return reservation;
 	}
 
-	async function claimUntil(customer: string, {patience, isDone}: {readonly patience: number; readonly isDone: () => boolean}): Promise<void> {
-		const until = clock.now() + patience;
-		claiming.set(customer, (claiming.get(customer) ?? 0) + 1);
-		// A round that was under way when the request came may not have counted it.
-		for (let round = 0; round < 2 && clock.now() < until; round += 1) {
-			await Promise.race([writeShared(), clock.sleep(until - clock.now())]);
+	async function claimUntil(customer: string, {timeoutMs, isDone}: {readonly timeoutMs: number; readonly isDone: () => boolean}): Promise<void> {
+		const deadline = clock.now() + timeoutMs;
+		waitingClaims.set(customer, (waitingClaims.get(customer) ?? 0) + 1);
+		// A round that was already running when the request arrived may not have counted it.
+		for (let round = 0; round < 2 && clock.now() < deadline; round += 1) {
+			await Promise.race([renewGrants(), clock.sleep(deadline - clock.now())]);
 			if (isDone()) {
 				break;
 			}
 		}
 
-		const left = claiming.get(customer)! - 1;
-		if (left === 0) {
-			claiming.delete(customer);
+		const remainingClaims = waitingClaims.get(customer)! - 1;
+		if (remainingClaims === 0) {
+			waitingClaims.delete(customer);
 		} else {
-			claiming.set(customer, left);
+			waitingClaims.set(customer, remainingClaims);
 		}
 	}
 
-	async function claim(customer: string, amount: number, patience: number): Promise<TokenReservation | undefined> {
+	async function claimAndReserve(customer: string, amount: number, timeoutMs: number): Promise<TokenReservation | undefined> {
 		let reservation: TokenReservation | undefined;
 		await claimUntil(customer, {
-			patience,
+			timeoutMs,
 			isDone() {
 				reservation = reserve(customer, amount);
 				return reservation !== undefined;
@@ -288,30 +290,31 @@
 	}
 
 	function isClaimSlow(): boolean {
-		const running = roundStartedAt === undefined ? 0 : clock.now() - roundStartedAt;
-		return !follower.isUp() || Math.max(claimTime, running) > slowClaim;
+		const runningMs = roundStartedAt === undefined ? 0 : clock.now() - roundStartedAt;
+		return !follower.isUp() || Math.max(claimDurationMs, runningMs) > slowClaimMs;
 	}
 
 	async function borrowMissing(customer: string): Promise<BorrowOutcome> {
 		const needed = demand.countWanted(customer) - account.countFree(customer);
-		const wanted = homes.isSmall() ? needed * wantedFactor : needed + (demand.findRate(customer) * borrowedSpan);
+		const wanted = homes.isSmallFleet() ? needed * borrowFactor : needed + (demand.findRate(customer) * borrowAheadMs);
 		return options.borrow(customer, {needed, wanted});
 	}
 
-	function countRest(customer: string): number {
+	function countRemaining(customer: string): number {
 		const bought = findTable()?.findCustomer(customer)?.bought ?? 0;
 		return Math.max(0, bought - book.sumGranted(customer, key) - account.countBound(customer));
 	}
 
-	async function syncBook(patience: number): Promise<void> {
-		if (follower.isUp() && (follower.countSinceAnswer() ?? Number.POSITIVE_INFINITY) > roundEvery) {
-			await Promise.race([follower.catchUp(signal), clock.sleep(patience)]);
+	async function syncGrants(timeoutMs: number): Promise<void> {
+		if (follower.isUp() && (follower.countSinceAnswer() ?? Number.POSITIVE_INFINITY) > roundIntervalMs) {
+			await Promise.race([follower.catchUp(signal), clock.sleep(timeoutMs)]);
 		}
 	}
 
-	// Another gateway claims for this one. It is asked twice, since a search that was under way may not have counted this
-	// request. If it brings too little though the log says that there is more, it may be cut off from the store.
-	async function seekFromHome(customer: string, amount: number, {patience, request}: AcquireTokensOptions): Promise<Result<TokenReservation, Failure>> {
+	// Borrows from other gateways, one of which claims for this one. Borrows twice, because a search that was already
+	// running may not have counted this request. If that is insufficient although the log shows unclaimed tokens, the owner
+	// may be cut off from the store, and this gateway claims for itself.
+	async function acquireFromOwner(customer: string, amount: number, {patience, request}: AcquireTokensOptions): Promise<Result<TokenReservation, Failure>> {
 		let isComplete = false;
 		for (let round = 0; round < 2; round += 1) {
 			const outcome = await borrowMissing(customer);
@@ -322,14 +325,14 @@
 			}
 		}
 
-		await syncBook(patience);
-		const claimed = follower.isUp() && countRest(customer) >= amount ? await claim(customer, amount, patience) : undefined;
+		await syncGrants(patience);
+		const claimed = follower.isUp() && countRemaining(customer) >= amount ? await claimAndReserve(customer, amount, patience) : undefined;
 		return claimed ? Ok(claimed) : Err(refuse(customer, amount, {isComplete, request}));
 	}
 
-	// Asks for tokens in the order in which they are likely to come; other gateways are asked last in any case, so that
-	// a refusal rests on their newest word.
-	async function seek(customer: string, amount: number, {patience, request}: AcquireTokensOptions): Promise<Result<TokenReservation, Failure>> {
+	// Claims first, or borrows first while claims are slow. Always borrows last, so that a refusal is based on the latest
+	// answers of the other gateways.
+	async function acquireAsOwner(customer: string, amount: number, {patience, request}: AcquireTokensOptions): Promise<Result<TokenReservation, Failure>> {
 		if (isClaimSlow()) {
 			await borrowMissing(customer);
 			const borrowed = reserve(customer, amount);
@@ -338,33 +341,33 @@
 			}
 		}
 
-		const claimed = follower.isUp() ? await claim(customer, amount, patience) : undefined;
+		const claimed = follower.isUp() ? await claimAndReserve(customer, amount, patience) : undefined;
 		if (claimed) {
 			return Ok(claimed);
 		}
 
 		const {isComplete} = await borrowMissing(customer);
-		const last = reserve(customer, amount);
-		return last ? Ok(last) : Err(refuse(customer, amount, {isComplete, request}));
+		const lastReservation = reserve(customer, amount);
+		return lastReservation ? Ok(lastReservation) : Err(refuse(customer, amount, {isComplete, request}));
 	}
 
-	// Guards against a refusal for good by an old book: a read that hangs leaves the log looking up until it fails, and what
-	// others have given back since is not known. The rest is too small only if the log and every gateway have just said so.
+	// Refuses as exhausted only if the log and every gateway have just confirmed it. While a read hangs, the log still counts
+	// as up until the read fails, and tokens that other gateways have released since are unknown.
 	function refuse(customer: string, amount: number, {isComplete, request}: {readonly isComplete: boolean; readonly request?: string}): Failure {
 		const bought = findTable()?.findCustomer(customer)?.bought ?? 0;
-		const rest = countRest(customer);
-		const bookMs = follower.countSinceAnswer() ?? Number.POSITIVE_INFINITY;
-		const isKnown = follower.isUp() && bookMs <= bookLife && isComplete;
+		const remaining = countRemaining(customer);
+		const syncAgeMs = follower.countSinceAnswer() ?? Number.POSITIVE_INFINITY;
+		const isCertain = follower.isUp() && syncAgeMs <= maxSyncAgeMs && isComplete;
 		events.write('budgetShort', {
-			request, customer, amount, free: account.countFree(customer), bound: account.countBound(customer), bought, elsewhere: book.sumGranted(customer, key), isStoreUp: follower.isUp(), bookMs, isComplete,
+			request, customer, amount, free: account.countFree(customer), bound: account.countBound(customer), bought, elsewhere: book.sumGranted(customer, key), isStoreUp: follower.isUp(), bookMs: syncAgeMs, isComplete,
 		});
-		return isKnown && rest < amount
-			? createFailure('budget-exhausted', `Customer "${customer}" has ${rest} of ${bought} tokens left and the request may need ${amount}`)
-			: createFailure('budget-busy', `Customer "${customer}" has ${rest} tokens left here and the request may need ${amount}`, {retryAfterMs: busyRetryAfter});
+		return isCertain && remaining < amount
+			? createFailure('budget-exhausted', `Customer "${customer}" has ${remaining} of ${bought} tokens left and the request may need ${amount}`)
+			: createFailure('budget-busy', `Customer "${customer}" has ${remaining} tokens left here and the request may need ${amount}`, {retryAfterMs: busyRetryAfterMs});
 	}
 
 	return {
-		/** Folds an own record that was read back or confirmed: only then may its increases be used. */
+		/** Applies a record of this gateway that was read back or confirmed; its increases may not be used before. */
 		takeOwnRecord(record: HolderRecord): void {
 			for (const customer of new Set([...account.listCustomers(), ...Object.keys(record.granted)])) {
 				account.setGranted(customer, record.granted[customer] ?? 0);
@@ -374,58 +377,58 @@
 			events.write('grantClaimed', {sequence: record.sequence, version: record.version, granted: JSON.stringify(record.granted)});
 		},
 
-		/** Reserves a request's worst case: from what is free, by a claim, or from other gateways. */
-		async acquire(customer: string, amount: number, acquire: AcquireTokensOptions): Promise<Result<TokenReservation, Failure>> {
-			const atOnce = reserve(customer, amount);
-			if (atOnce) {
-				return Ok(atOnce);
+		/** Reserves the worst case of a request from free tokens, by a claim, or by loans from other gateways. */
+		async acquire(customer: string, amount: number, acquireOptions: AcquireTokensOptions): Promise<Result<TokenReservation, Failure>> {
+			const immediate = reserve(customer, amount);
+			if (immediate) {
+				return Ok(immediate);
 			}
 
-			const stopWaiting = demand.startWaiting(customer, amount);
+			const stopWaiting = demand.addWaiting(customer, amount);
 			try {
-				return await (homes.isHome(customer) ? seek(customer, amount, acquire) : seekFromHome(customer, amount, acquire));
+				return await (homes.isHome(customer) ? acquireAsOwner(customer, amount, acquireOptions) : acquireFromOwner(customer, amount, acquireOptions));
 			} finally {
 				stopWaiting();
 			}
 		},
 
-		/** Ends a reservation with what was used. */
+		/** Ends a reservation with the number of tokens used. */
 		settle(reservation: TokenReservation, used: number): void {
 			account.settle(reservation, used);
-			demand.noteSpent(reservation.customer, used - reservation.amount);
+			demand.recordSpent(reservation.customer, used - reservation.amount);
 		},
 
-		/** What waiting requests ask for, in tokens. */
+		/** Returns the number of tokens that waiting requests need. */
 		countWanted: demand.countWanted,
 
-		/** Claims until so many tokens are free, for a gateway that asks. */
+		/** Claims tokens on behalf of another gateway until the given amount is free in addition to what waiting requests need. */
 		async claimFor(customer: string, amount: number): Promise<void> {
-			const stopWaiting = demand.startWaiting(customer, amount);
-			await claimUntil(customer, {patience: claimForPatience, isDone: () => account.countFree(customer) >= demand.countWanted(customer)});
+			const stopWaiting = demand.addWaiting(customer, amount);
+			await claimUntil(customer, {timeoutMs: claimForPeerTimeoutMs, isDone: () => account.countFree(customer) >= demand.countWanted(customer)});
 			stopWaiting();
 		},
 
-		/** Counts what was lent to a gateway for which this one claims as demand here. */
-		noteLent: demand.noteSpent,
+		/** Adds tokens lent to another gateway to the demand of this one, which claims on its behalf. */
+		noteLent: demand.recordSpent,
 
-		/** Free tokens that the next seconds here do not need. */
-		countSpare: (customer: string): number => Math.max(0, account.countFree(customer) - (demand.findRate(customer) * roundEvery)),
+		/** Returns the number of free tokens beyond the demand expected here until the next round. */
+		countSpare: (customer: string): number => Math.max(0, account.countFree(customer) - (demand.findRate(customer) * roundIntervalMs)),
 
-		/** Claims what the next seconds need and gives back what is idle, now. */
-		renew: writeShared,
+		/** Runs a round now: claims the demand of the next seconds and releases idle tokens. */
+		renew: renewGrants,
 
 		async run(): Promise<void> {
 			while (!signal.aborted) {
-				await writeShared();
-				await clock.sleep(roundEvery, signal);
+				await renewGrants();
+				await clock.sleep(roundIntervalMs, signal);
 			}
 		},
 
-		/** Gives back everything that was not used, for a stop. */
+		/** Releases all unused tokens, when the gateway stops. */
 		async end(): Promise<void> {
 			isEnding = true;
-			await writing;
-			await writeShared();
+			await activeRound;
+			await renewGrants();
 		},
 	};
 }
--- /dev/null
+++ b/src/coordination/budget-manager.test.ts
@@ -0,0 +1,439 @@
+import fc from 'fast-check';
+import {expect, test} from 'vitest';
+import {createFakeKeyedLog, type AppendFate, type FakeKeyedLog} from '../../tools/harness/fake-keyed-log.js';
+import type {Deployment, EventLog} from '../protocol/mod.js';
+import {
+	createGrantBook, createRouteTable, createTokenAccount, holderRecordSchema, type PeerView, type RouteTable, type TokenReservation,
+} from '../state/mod.js';
+import {
+	createBudgetKeeper, createKeyedFollower, createTokenLending, type LendAsk,
+} from './mod.js';
+
+// Simulates gateways with real budget managers over one log in memory. Appends
+// collide, their answers are lost, some take effect late, and gateways die and
+// restart.
+
+const events: EventLog = {write: () => undefined, counts: new Map()};
+const customer = 'c1';
+
+function buildTable(version: number, bought: number): RouteTable {
+	const deployment: Deployment = {
+		version, routes: [], services: [], customers: [{id: customer, keys: ['k'], bought}], limits: {
+			headerBytes: 1000, bodyBytes: 1000, headerTimeout: 1000, idleTimeout: 1000,
+		},
+	};
+	return createRouteTable(deployment);
+}
+
+/** Each gateway claims for itself, or the first claims for all. */
+type ClaimMode = 'each' | 'first';
+
+async function createSimulation(bought: number, mode: ClaimMode = 'each') {
+	const log = createFakeKeyedLog();
+	let table = buildTable(1, bought);
+	let now = 0;
+	const clock = {
+		now: () => now,
+		async sleep() {
+			now += 1;
+			await new Promise(resolve => {
+				setImmediate(resolve);
+			});
+		},
+	};
+	const gateways: Gateway[] = [];
+	let serial = 0;
+	/** Gateways that do not answer. */
+	const unresponsive = new Set<string>();
+	/** Tokens spent or reserved at stopped gateways, which callers may have used. */
+	let usedByStopped = 0;
+
+	function start(index: number, fake: FakeKeyedLog = log) {
+		serial += 1;
+		const daemon = `e${index}`;
+		const stopper = new AbortController();
+		const account = createTokenAccount();
+		const book = createGrantBook();
+		const self = {
+			role: 'gateway' as const, daemon, incarnation: `i${serial}`, address: daemon, failureDomain: 'd',
+		};
+		const follower = createKeyedFollower({
+			log: fake.open(), clock, events, wait: 0, every: 1,
+			onRecord({key, value}) {
+				const record = holderRecordSchema.parse(JSON.parse(value ?? 'null'));
+				book.put(key, record);
+				if (key === `${daemon}/${self.incarnation}`) {
+					manager.takeOwnRecord(record);
+				}
+			},
+		});
+		const lending = createTokenLending({
+			daemon, account, events,
+			listViews: () => gateways.filter(other => other.daemon !== daemon).map((other): PeerView => ({
+				daemon: other.daemon, incarnation: 'i', address: other.daemon, free: [{customer, tokens: Math.max(0, other.account.countFree(customer))}], uses: [], version: 1, isLeaving: false, crashes: [],
+			})),
+			listSilent: () => [],
+			countWanted: id => manager.countWanted(id),
+			clock,
+			listHomes: () => mode === 'each' ? [] : ['e0', 'e1', 'e2'],
+			isHome: () => mode === 'each' || index === 0,
+			claim: async (id, amount) => manager.claimFor(id, amount),
+			onLent(id, amount) {
+				manager.noteLent(id, amount);
+			},
+			async ask(address: string, request: LendAsk) {
+				if (unresponsive.has(address)) {
+					throw new Error('The gateway does not answer');
+				}
+
+				return gateways.find(other => other.daemon === address)!.lending.lend(request);
+			},
+		});
+		const manager = createBudgetKeeper({
+			self, log: fake.open(), follower, book, account, findTable: () => table, borrow: lending.borrow, homes: {isHome: () => mode === 'each' || index === 0, isSmallFleet: () => mode === 'each', countClaimers: () => mode === 'each' ? 3 : 1}, clock, events, signal: stopper.signal,
+		});
+		return {
+			daemon, manager, account, lending, stopper, reservations: [] as TokenReservation[],
+		};
+	}
+
+	type Gateway = ReturnType<typeof start>;
+
+	function countUsed({account}: Gateway): number {
+		const {spent, reserved} = account.get(customer);
+		return spent + reserved;
+	}
+
+	for (const index of [0, 1, 2]) {
+		gateways.push(start(index));
+	}
+
+	// A request leads to a claim only after its gateway has reached the log once.
+	for (const gateway of gateways) {
+		await gateway.manager.renew();
+	}
+
+	const firstRecord = log.records.length;
+
+	return {
+		log, gateways, firstRecord, unresponsive,
+		setBought(version: number, amount: number) {
+			table = buildTable(version, amount);
+		},
+		restart(index: number) {
+			usedByStopped += countUsed(gateways[index]!);
+			gateways[index]!.stopper.abort();
+			gateways[index] = start(index);
+		},
+		sumUsed: () => gateways.reduce((sum, gateway) => sum + countUsed(gateway), usedByStopped),
+		sumFree: () => gateways.reduce((sum, gateway) => sum + gateway.account.countFree(customer), 0),
+	};
+}
+
+const indexArbitrary = fc.integer({min: 0, max: 2});
+const stepArbitrary = fc.oneof(
+	{weight: 6, arbitrary: fc.record({kind: fc.constant('ask' as const), index: indexArbitrary, amount: fc.integer({min: 1, max: 400})})},
+	{weight: 6, arbitrary: fc.record({kind: fc.constant('together' as const), amounts: fc.tuple(fc.integer({min: 0, max: 600}), fc.integer({min: 0, max: 600}), fc.integer({min: 0, max: 600}))})},
+	{weight: 4, arbitrary: fc.record({kind: fc.constant('settle' as const), index: indexArbitrary, share: fc.double({min: 0, max: 1, noNaN: true})})},
+	{weight: 3, arbitrary: fc.record({kind: fc.constant('renew' as const), index: indexArbitrary})},
+	{weight: 1, arbitrary: fc.record({kind: fc.constant('kill' as const), index: indexArbitrary})},
+	{weight: 3, arbitrary: fc.record({kind: fc.constant('fate' as const), fate: fc.constantFrom<AppendFate>('lost-after', 'lost-before', 'late')})},
+	{weight: 2, arbitrary: fc.record({kind: fc.constant('release-late' as const)})},
+	{weight: 1, arbitrary: fc.record({kind: fc.constant('away' as const), isAway: fc.constantFrom(true, false, false)})},
+	{weight: 1, arbitrary: fc.record({kind: fc.constant('top-up' as const), amount: fc.integer({min: 1, max: 1000})})},
+);
+
+test.each<ClaimMode>(['each', 'first'])('no order of claims, loans, lost answers and deaths spends more than was bought: %s claims', async mode => {
+	await fc.assert(fc.asyncProperty(fc.array(stepArbitrary, {minLength: 30, maxLength: 80}), async steps => {
+		let bought = 2000;
+		let version = 1;
+		const simulation = await createSimulation(bought, mode);
+		for (const step of steps) {
+			switch (step.kind) {
+				case 'ask': {
+					const gateway = simulation.gateways[step.index]!;
+					const reservation = await gateway.manager.acquire(customer, step.amount, {patience: 300});
+					if (reservation.ok) {
+						gateway.reservations.push(reservation.val);
+					}
+
+					break;
+				}
+
+				case 'together': {
+					// Acquires concurrently, so that claims collide; an amount of 0 acquires nothing and only renews the grant.
+					await Promise.all(simulation.gateways.map(async (gateway, index) => {
+						const amount = step.amounts[index]!;
+						const reservation = amount > 0 ? await gateway.manager.acquire(customer, amount, {patience: 300}) : undefined;
+						await gateway.manager.renew();
+						if (reservation?.ok) {
+							gateway.reservations.push(reservation.val);
+						}
+					}));
+					break;
+				}
+
+				case 'settle': {
+					const gateway = simulation.gateways[step.index]!;
+					const reservation = gateway.reservations.pop();
+					if (reservation) {
+						gateway.manager.settle(reservation, Math.floor(reservation.amount * step.share));
+					}
+
+					break;
+				}
+
+				case 'renew': {
+					await simulation.gateways[step.index]!.manager.renew();
+					break;
+				}
+
+				case 'kill': {
+					simulation.restart(step.index);
+					break;
+				}
+
+				case 'fate': {
+					simulation.log.fates.push(step.fate);
+					break;
+				}
+
+				case 'release-late': {
+					simulation.log.releaseLate();
+					break;
+				}
+
+				case 'away': {
+					simulation.log.isAway = step.isAway;
+					break;
+				}
+
+				case 'top-up': {
+					bought += step.amount;
+					version += 1;
+					simulation.setBought(version, bought);
+				}
+			}
+
+			expect(simulation.sumUsed() + simulation.sumFree()).toBeLessThanOrEqual(bought);
+		}
+	}), {numRuns: 150, seed: 7});
+});
+
+test('a claim whose answer is lost is found in the log', async () => {
+	// Guards against a refusal although tokens remain, after the append of a
+	// claim took effect but its answer was lost.
+	const simulation = await createSimulation(1000);
+	simulation.log.fates.push('lost-after');
+	const reservation = await simulation.gateways[0]!.manager.acquire(customer, 300, {patience: 300});
+	expect(reservation.ok).toBe(true);
+	expect(simulation.log.records.length).toBe(simulation.firstRecord + 1);
+});
+
+test('a gateway without tokens of its own borrows while the log is unavailable', async () => {
+	// Guards against refusals at a gateway that is cut off from the store while
+	// another gateway has enough free tokens.
+	const simulation = await createSimulation(10_000);
+	const held = await simulation.gateways[1]!.manager.acquire(customer, 1000, {patience: 300});
+	simulation.gateways[1]!.manager.settle(held.unwrap(), 10);
+	await simulation.gateways[0]!.manager.acquire(customer, 100, {patience: 300});
+	const free = simulation.gateways[0]!.account.countFree(customer);
+	simulation.log.isAway = true;
+	const reservation = await simulation.gateways[0]!.manager.acquire(customer, free + 500, {patience: 300});
+	expect(reservation.ok).toBe(true);
+});
+
+test('a restarted gateway claims the demand of its previous incarnation in its first claim', async () => {
+	// Guards against a separate claim for the first request of each customer
+	// after all gateways have lost power, when these claims collide.
+	const simulation = await createSimulation(1_000_000);
+	for (let index = 0; index < 20; index += 1) {
+		const reservation = await simulation.gateways[0]!.manager.acquire(customer, 500, {patience: 300});
+		simulation.gateways[0]!.manager.settle(reservation.unwrap(), 500);
+	}
+
+	await simulation.gateways[0]!.manager.renew();
+	simulation.restart(0);
+	await simulation.gateways[0]!.manager.renew();
+	const records = simulation.log.records.length;
+	const reservation = await simulation.gateways[0]!.manager.acquire(customer, 500, {patience: 300});
+	expect(reservation.ok).toBe(true);
+	expect(simulation.log.records.length).toBe(records);
+});
+
+test('tokens above a lowered budget are released at once', async () => {
+	// Guards against gateways that keep spending grants of a budget that the
+	// operator has lowered below their sum.
+	const simulation = await createSimulation(10_000);
+	await simulation.gateways[0]!.manager.acquire(customer, 1000, {patience: 300});
+	await simulation.gateways[1]!.manager.acquire(customer, 1000, {patience: 300});
+	simulation.setBought(2, 2100);
+	await simulation.gateways[0]!.manager.renew();
+	await simulation.gateways[1]!.manager.renew();
+	expect(simulation.sumUsed() + simulation.sumFree()).toBeLessThanOrEqual(2100);
+});
+
+test('tokens that are being released cannot be reserved', async () => {
+	// Guards against tokens used twice: a request reserves them while the record
+	// that releases them is being appended, and another gateway claims them.
+	const simulation = await createSimulation(10_000);
+	const {account, manager} = simulation.gateways[0]!;
+	await manager.acquire(customer, 1000, {patience: 300});
+	simulation.setBought(2, 1000);
+	simulation.log.onAppend = () => {
+		account.reserve(customer, account.countFree(customer));
+	};
+
+	await manager.renew();
+	expect(simulation.sumUsed()).toBeLessThanOrEqual(1000);
+});
+
+test('a request that exceeds the remaining budget is refused as exhausted, not as busy', async () => {
+	const simulation = await createSimulation(1000);
+	await simulation.gateways[0]!.manager.acquire(customer, 900, {patience: 300});
+	const refused = await simulation.gateways[1]!.manager.acquire(customer, 500, {patience: 300});
+	expect(refused.err && refused.val.type).toBe('budget-exhausted');
+});
+
+test('a stopping gateway releases all unused tokens', async () => {
+	const simulation = await createSimulation(1000);
+	const reservation = await simulation.gateways[0]!.manager.acquire(customer, 300, {patience: 300});
+	simulation.gateways[0]!.manager.settle(reservation.unwrap(), 120);
+	await simulation.gateways[0]!.manager.end();
+	const all = await simulation.gateways[1]!.manager.acquire(customer, 880, {patience: 300});
+	expect(all.ok).toBe(true);
+});
+
+/** Creates a budget manager whose claims hang, as with an unresponsive store. */
+function createHangingManager({sinceAnswer, tokensElsewhere}: {readonly sinceAnswer: number; readonly tokensElsewhere: boolean}) {
+	let now = 0;
+	const never = new Promise<never>(() => undefined); // eslint-disable-line no-promise-executor-return
+	const account = createTokenAccount();
+	const manager = createBudgetKeeper({
+		self: {
+			role: 'gateway', daemon: 'e1', incarnation: 'i1', address: 'e1', failureDomain: 'd',
+		},
+		log: createFakeKeyedLog().open(),
+		follower: {
+			next: () => 0, isUp: () => true, countSinceAnswer: () => sinceAnswer, catchUp: async () => never, takeOwn: () => undefined, run: async () => never,
+		},
+		book: createGrantBook(),
+		account,
+		findTable: () => buildTable(1, 1000),
+		homes: {isHome: () => true, isSmallFleet: () => true, countClaimers: () => 4},
+		async borrow(id, {needed}) {
+			if (tokensElsewhere) {
+				account.addBorrowed(id, needed);
+			}
+
+			return {tokens: tokensElsewhere ? needed : 0, isComplete: true};
+		},
+		clock: {
+			now: () => now,
+			async sleep(durationMs) {
+				now += durationMs;
+			},
+		},
+		events,
+		signal: new AbortController().signal,
+	});
+	return {
+		manager,
+		now: () => now,
+		pass(durationMs: number) {
+			now += durationMs;
+		},
+	};
+}
+
+test('while claims are slow, tokens are borrowed from other gateways first', async () => {
+	// Guards against an answer that starts two seconds late because the gateway
+	// waits for a store that takes 0.4 s per call, although another gateway has
+	// enough tokens and answers in milliseconds.
+	const {manager, now, pass} = createHangingManager({sinceAnswer: 0, tokensElsewhere: true});
+	void manager.renew();
+	pass(100);
+	const reservation = await manager.acquire(customer, 400, {patience: 2000});
+	expect(reservation.ok).toBe(true);
+	// The request did not wait for a claim.
+	expect(now()).toBe(100);
+});
+
+test.each([[300, 'budget-exhausted'], [1700, 'budget-busy']])('a request that exceeds the budget according to a log read %s ms ago ends with %s', async (sinceAnswer, type) => {
+	// Guards against a refusal as exhausted based on an outdated read of an
+	// unresponsive log: tokens that other gateways have released since are
+	// unknown, and the pending read fails only seconds later.
+	const {manager} = createHangingManager({sinceAnswer, tokensElsewhere: false});
+	const reservation = await manager.acquire(customer, 1001, {patience: 200});
+	expect(reservation.err && reservation.val.type).toBe(type);
+});
+
+test('tokens for a burst are claimed before its first request ends', async () => {
+	// Guards against a claim for each request of a burst, because demand is
+	// counted only when the streams end, seconds later.
+	const simulation = await createSimulation(1_000_000);
+	const [gateway] = simulation.gateways;
+	for (let index = 0; index < 8; index += 1) {
+		await gateway!.manager.acquire(customer, 1000, {patience: 300});
+	}
+
+	await gateway!.manager.renew();
+	expect(gateway!.account.countFree(customer)).toBeGreaterThan(1000);
+});
+
+// Guards against colliding claims for each request of a large fleet.
+test('requests at gateways that do not own the budget cause few claims', async () => {
+	const simulation = await createSimulation(10_000_000, 'first');
+	const writers = new Set<string>();
+	for (let round = 0; round < 20; round += 1) {
+		for (const gateway of simulation.gateways.slice(1)) {
+			const reservation = await gateway.manager.acquire(customer, 1000, {patience: 300});
+			expect(reservation.ok).toBe(true);
+		}
+	}
+
+	for (const {key} of simulation.log.records.slice(simulation.firstRecord)) {
+		writers.add(key.split('/')[0]!);
+	}
+
+	expect([...writers]).toEqual(['e0']);
+	expect(simulation.log.records.length - simulation.firstRecord).toBeLessThan(20);
+});
+
+// Guards against refusals while the owner of a budget has died but is not yet presumed failed.
+test('if the owner does not respond, a gateway gets tokens from the next one in the order', async () => {
+	const simulation = await createSimulation(100_000, 'first');
+	simulation.unresponsive.add('e0');
+	const reservation = await simulation.gateways[2]!.manager.acquire(customer, 1000, {patience: 300});
+	expect(reservation.ok).toBe(true);
+	expect(simulation.gateways[1]!.account.get(customer).lent).toBeGreaterThanOrEqual(1000);
+});
+
+test('a gateway that cannot reach any other claims for itself', async () => {
+	const simulation = await createSimulation(100_000, 'first');
+	simulation.unresponsive.add('e0');
+	simulation.unresponsive.add('e1');
+	const reservation = await simulation.gateways[2]!.manager.acquire(customer, 1000, {patience: 300});
+	expect(reservation.ok).toBe(true);
+	expect(simulation.gateways[2]!.account.get(customer).granted).toBeGreaterThanOrEqual(1000);
+});
+
+// Guards against refusals near the end of a budget because its remaining tokens are spread over the gateways.
+test('free tokens of other gateways are used at the end of a budget', async () => {
+	const simulation = await createSimulation(3000, 'first');
+	const held = await simulation.gateways[1]!.manager.acquire(customer, 2000, {patience: 300});
+	simulation.gateways[1]!.manager.settle(held.unwrap(), 100);
+	const reservation = await simulation.gateways[2]!.manager.acquire(customer, 2500, {patience: 300});
+	expect(reservation.ok).toBe(true);
+});
+
+// Guards against remaining tokens that stay at gateways whose large requests were refused, while smaller requests at other
+// gateways are refused too.
+test('a request that exceeds the remaining budget leaves the tokens to smaller requests', async () => {
+	const simulation = await createSimulation(3000, 'first');
+	const refused = await simulation.gateways[1]!.manager.acquire(customer, 5000, {patience: 300});
+	expect(refused.ok).toBe(false);
+	expect(simulation.gateways[1]!.account.countFree(customer)).toBe(0);
+	const small = await simulation.gateways[2]!.manager.acquire(customer, 2500, {patience: 300});
+	expect(small.ok).toBe(true);
+});
--- a/src/coordination/demand.ts
+++ b/src/coordination/demand.ts
@@ -1,5 +1,7 @@
 /**
- * What requests at one entry daemon ask of its budgets.
+ * Tracks the demand for tokens of each budget at one daemon: the needs of
+ * waiting requests, the recent rate of spending, and whether requests lacked
+ * tokens.
  *
  * @module
  */
@@ -9,36 +11,37 @@
 /** Options of {@linkcode createDemand}. */
 export type CreateDemandOptions = {
 	/**
-	 * Shortest span, in milliseconds, over which a new budget's rate is taken;
-	 * the average is then not too low at the start. Default: it starts from 0.
+	 * Shortest period over which a new budget's rate is averaged, which corrects
+	 * the average for the time before the first spending. By default the average
+	 * starts from 0 and is too low at first.
 	 */
-	readonly warmUp?: number;
+	readonly warmUpMs?: number;
 };
 
-/** Demand at one entry daemon. */
+/** Tracks one daemon's demand. */
 export type Demand = ReturnType<typeof createDemand>;
 
-const rateWindow = 10_000;
-const shortMemory = 5000;
+const rateWindowMs = 10_000;
+const insufficientWindowMs = 5000;
 
 /**
- * Creates the account of demand.
+ * Creates a demand tracker.
  *
  * @example
  * ```ts
  * const demand = createDemand(clock);
- * demand.noteSpent('b1', 430);
- * demand.findRate('b1'); // tokens a millisecond
+ * demand.recordSpent('b1', 430);
+ * demand.findRate('b1'); // tokens per millisecond
  * ```
  *
- * @param clock Time
- * @param options How a new budget's rate is taken
- * @returns The account
+ * @param clock Clock
+ * @param options How a new budget's rate is averaged
+ * @returns The tracker
  */
 export function createDemand(clock: Clock, options: CreateDemandOptions = {}) {
 	const waiting = new Map<string, number[]>();
 	const rates = new Map<string, {rate: number; at: number; since: number}>();
-	const shortAt = new Map<string, number>();
+	const insufficientAt = new Map<string, number>();
 
 	function listWanted(budget: string): readonly number[] {
 		return waiting.get(budget) ?? [];
@@ -50,19 +53,19 @@
 			return 0;
 		}
 
-		const rate = known.rate * Math.exp((known.at - clock.now()) / rateWindow);
-		const span = Math.max(options.warmUp ?? 0, clock.now() - known.since);
-		return options.warmUp === undefined ? rate : rate / (1 - Math.exp(-span / rateWindow));
+		const rate = known.rate * Math.exp((known.at - clock.now()) / rateWindowMs);
+		const elapsedMs = Math.max(options.warmUpMs ?? 0, clock.now() - known.since);
+		return options.warmUpMs === undefined ? rate : rate / (1 - Math.exp(-elapsedMs / rateWindowMs));
 	}
 
 	return {
-		/** What each waiting request asks for, in tokens. */
+		/** Returns the number of tokens that each waiting request needs. */
 		listWanted,
-		/** What all waiting requests ask for, in tokens. */
+		/** Returns the number of tokens that all waiting requests need together. */
 		countWanted: (budget: string): number => sumShares(listWanted(budget).map(amount => ({amount}))),
 
-		/** Notes a waiting request; returns what ends its wait. */
-		startWaiting(budget: string, amount: number): () => void {
+		/** Adds a waiting request and returns a function that removes it. */
+		addWaiting(budget: string, amount: number): () => void {
 			const amounts = waiting.get(budget) ?? [];
 			amounts.push(amount);
 			waiting.set(budget, amounts);
@@ -71,25 +74,25 @@
 			};
 		},
 
-		/** Tokens a millisecond spent of late, an exponentially decaying average. */
+		/** Returns the rate of spending in tokens per millisecond, an exponentially decaying average. */
 		findRate,
-		noteSpent(budget: string, tokens: number): void {
+		recordSpent(budget: string, tokens: number): void {
 			const known = rates.get(budget);
 			const now = clock.now();
-			const decayed = known ? known.rate * Math.exp((known.at - now) / rateWindow) : 0;
-			rates.set(budget, {rate: decayed + (tokens / rateWindow), at: now, since: known?.since ?? now});
+			const decayed = known ? known.rate * Math.exp((known.at - now) / rateWindowMs) : 0;
+			rates.set(budget, {rate: decayed + (tokens / rateWindowMs), at: now, since: known?.since ?? now});
 		},
 
-		/** Takes a rate for known, in tokens a millisecond, until what is spent here says otherwise. */
+		/** Sets the rate, in tokens per millisecond, from which later spending continues the average. */
 		setRate(budget: string, rate: number): void {
 			rates.set(budget, {rate, at: clock.now(), since: Number.NEGATIVE_INFINITY});
 		},
 
-		noteShort(budget: string): void {
-			shortAt.set(budget, clock.now());
+		recordInsufficient(budget: string): void {
+			insufficientAt.set(budget, clock.now());
 		},
 
-		/** True when requests here were short of the budget's tokens in the last seconds. */
-		isShort: (budget: string): boolean => clock.now() - (shortAt.get(budget) ?? Number.NEGATIVE_INFINITY) < shortMemory,
+		/** Returns true if a request lacked tokens of the budget in the last seconds. */
+		wasInsufficient: (budget: string): boolean => clock.now() - (insufficientAt.get(budget) ?? Number.NEGATIVE_INFINITY) < insufficientWindowMs,
 	};
 }
--- a/src/coordination/grant-keeper.ts
+++ b/src/coordination/grant-keeper.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps an entry daemon in tokens: claims ahead as its policy says, borrows,
- * lets requests wait for tokens that are about to be freed, and gives back
- * what is idle.
+ * Manages an entry daemon's tokens: claims ahead according to a policy,
+ * borrows, lets requests wait for tokens that will soon be free, and releases
+ * idle tokens.
  *
  * @module
  */
@@ -18,10 +18,10 @@
 import type {LogFollower} from './log-follower.js';
 import type {LogWriter} from './log-writer.js';
 import type {Membership} from './membership.js';
-import {createShortage} from './shortage.js';
+import {createTokenAvailability} from './token-availability.js';
 
 /** Options of {@linkcode createGrantKeeper}. */
-export type CreateGrantKeeperOptions = {
+export type CreateGrantManagerOptions = {
 	readonly follower: LogFollower;
 	readonly writer: LogWriter;
 	readonly membership: Membership;
@@ -32,8 +32,8 @@
 	readonly events: EventLog;
 	/** Pause between rounds, in milliseconds. */
 	readonly every: number;
-	/** Longest wait for an append, in milliseconds; default 10000. */
-	readonly appendBound?: number;
+	/** Timeout of an append, in milliseconds; default 10000. */
+	readonly appendTimeoutMs?: number;
 };
 
 /** Options of {@linkcode GrantKeeper.acquire}. */
@@ -43,38 +43,38 @@
 	readonly signal: AbortSignal;
 };
 
-/** Keeps an entry daemon in tokens. */
+/** Manages an entry daemon's tokens. */
 export type GrantKeeper = ReturnType<typeof createGrantKeeper>;
 
-const defaultAppendBound = 10_000;
-const claimPatience = 300;
-const waitStep = 250;
+const defaultAppendTimeoutMs = 10_000;
+const claimTimeoutMs = 300;
+const waitStepMs = 250;
 
 /**
- * Creates the keeper; `run` is its task.
+ * Creates a grant manager; `run` operates it until the signal is aborted.
  *
  * @example
  * ```ts
- * const reservation = await keeper.acquire('b1', 500, {patience: 2000, signal});
+ * const reservation = await manager.acquire('b1', 500, {patience: 2000, signal});
  * ```
  *
  * @param options Grants, log, peers and policy
- * @returns The keeper
+ * @returns The manager
  */
-export function createGrantKeeper(options: CreateGrantKeeperOptions) {
+export function createGrantKeeper(options: CreateGrantManagerOptions) {
 	const {
 		follower, writer, membership, holder, loans, policy, clock, events,
 	} = options;
-	const appendBound = options.appendBound ?? defaultAppendBound;
+	const appendTimeoutMs = options.appendTimeoutMs ?? defaultAppendTimeoutMs;
 	const demand = createDemand(clock);
-	const shortage = createShortage({
+	const availability = createTokenAvailability({
 		follower, membership, holder, loans, events,
 	});
 	const claims = new Map<string, Promise<void>>();
-	const seeks = new Map<string, Promise<LoanSearch>>();
-	const claimed = new Set<string>();
-	const finished = new Set<string>();
-	const releasing = new Set<string>();
+	const searches = new Map<string, Promise<LoanSearch>>();
+	const claimedBudgets = new Set<string>();
+	const addedGrants = new Set<string>();
+	const closingGrants = new Set<string>();
 
 	function buildView(budget: string): BudgetView {
 		const {ledger, configuration, placement} = follower.state();
@@ -92,7 +92,7 @@
 			wanted: demand.countWanted(budget),
 			rate: demand.findRate(budget),
 			entries: membership.listLiveEntries(placement.list()).length + 1,
-			hasClaimed: claimed.has(budget),
+			hasClaimed: claimedBudgets.has(budget),
 			weighs: configuration.findBudget(budget)?.weighs ?? 'refusals',
 		};
 	}
@@ -102,14 +102,14 @@
 		return follower.state().placement.isCurrent(self.id, self.incarnation);
 	}
 
-	// Takes up grants of this incarnation that came into force, and drops those that ended or were closed by others.
+	// Adds grants of this incarnation that have come into force, and drops those that ended or were closed by others.
 	function syncGrants(): void {
 		const {ledger} = follower.state();
 		const {self} = membership;
 		for (const grant of ledger.listGrants()) {
 			const isMine = grant.daemon === self.id && grant.incarnation === self.incarnation;
-			if (isMine && !grant.waitsFor && !holder.has(grant.id) && !finished.has(grant.id)) {
-				finished.add(grant.id);
+			if (isMine && !grant.waitsFor && !holder.has(grant.id) && !addedGrants.has(grant.id)) {
+				addedGrants.add(grant.id);
 				holder.add(grant.id, {budget: grant.budget, amount: grant.amount});
 				events.write('grantClaimed', {grant: grant.id, amount: grant.amount, offset: grant.offset});
 			}
@@ -117,10 +117,10 @@
 
 		for (const source of listAllSources()) {
 			const grant = ledger.findGrant(source.grant);
-			// A paused holder may find its grant closed: others have taken over the rest, so not one token of it may be used.
+			// After a pause the holder may find its grant closed: others have taken over the remaining tokens, so none may be used.
 			if (grant?.waitsFor ?? (!grant && !source.lender)) {
 				holder.drop(source.grant);
-				if (!releasing.has(source.grant)) {
+				if (!closingGrants.has(source.grant)) {
 					events.write('grantLost', {grant: source.grant});
 				}
 			}
@@ -136,22 +136,22 @@
 		const record: RecordOf<'claim'> = {
 			kind: 'claim', grant: formatGrant(createId('g'), budget), budget, daemon: self.id, incarnation: self.incarnation, amount,
 		};
-		claimed.add(budget);
-		const from = follower.state().next();
-		let isSeen = false;
-		const watch = follower.events.on('folded', ({data}) => {
-			isSeen ||= data.kind === 'claim' && data.grant === record.grant;
+		claimedBudgets.add(budget);
+		const startOffset = follower.state().next();
+		let isClaimSeen = false;
+		const stopWatching = follower.events.on('folded', ({data}) => {
+			isClaimSeen ||= data.kind === 'claim' && data.grant === record.grant;
 		});
 		await writer.commit(record, {
-			isFolded: state => isSeen || state.ledger.findGrant(record.grant) !== undefined || (state.next() > from && !isJoined()),
-			signal: AbortSignal.timeout(appendBound),
+			isFolded: state => isClaimSeen || state.ledger.findGrant(record.grant) !== undefined || (state.next() > startOffset && !isJoined()),
+			signal: AbortSignal.timeout(appendTimeoutMs),
 		});
-		watch();
+		stopWatching();
 		syncGrants();
 	}
 
-	// One claim at a time for each budget: a second one would be sized without knowing the first.
-	async function claimOnce(budget: string, amount: number): Promise<void> {
+	// Runs one claim per budget at a time, because a second one would be sized without knowing the result of the first.
+	async function claimOrJoin(budget: string, amount: number): Promise<void> {
 		const running = claims.get(budget);
 		if (running) {
 			return running;
@@ -163,7 +163,7 @@
 		claims.delete(budget);
 	}
 
-	// Gives tokens back; they are withdrawn first, so that a lost answer can lock but never double them.
+	// Releases tokens that have already been withdrawn from the holder, so that a lost answer can lock but never duplicate them.
 	async function releaseTokens(shares: readonly GrantShare[]): Promise<void> {
 		await Promise.all(shares.map(async share => {
 			const id = createId('r');
@@ -171,28 +171,28 @@
 				kind: 'release', id, grant: share.grant, amount: share.amount, final: false,
 			}, {
 				isFolded: state => state.ledger.hasRelease(id) || !state.ledger.findGrant(share.grant),
-				signal: AbortSignal.timeout(appendBound),
+				signal: AbortSignal.timeout(appendTimeoutMs),
 			});
 			events.write('grantReleased', {grant: share.grant, amount: share.amount});
 		}));
 	}
 
-	// Ends own grants that are used up, so that no daemon need remember them.
-	async function finishGrants(): Promise<void> {
-		const done = listAllSources().filter(source => !source.lender && source.free === 0 && source.reserved === 0 && source.lent === 0 && !releasing.has(source.grant));
-		await Promise.all(done.map(async source => {
-			releasing.add(source.grant);
+	// Closes own grants that are used up, so that no daemon has to keep them in its state.
+	async function closeUsedGrants(): Promise<void> {
+		const usedUp = listAllSources().filter(source => !source.lender && source.free === 0 && source.reserved === 0 && source.lent === 0 && !closingGrants.has(source.grant));
+		await Promise.all(usedUp.map(async source => {
+			closingGrants.add(source.grant);
 			const id = createId('r');
 			await writer.commit({
 				kind: 'release', id, grant: source.grant, amount: 0, final: true,
-			}, {isFolded: state => !state.ledger.findGrant(source.grant), signal: AbortSignal.timeout(appendBound)});
-			releasing.delete(source.grant);
+			}, {isFolded: state => !state.ledger.findGrant(source.grant), signal: AbortSignal.timeout(appendTimeoutMs)});
+			closingGrants.delete(source.grant);
 			holder.drop(source.grant);
 		}));
 	}
 
-	// After an upstream daemon was lost with its receipts, what a grant spent there is known to this holder alone.
-	// If it died too, the whole grant would count as used; so it moves its free tokens to fresh grants.
+	// If an upstream daemon fails before it has appended its receipts, only this holder knows how much of a grant was spent
+	// there. If the holder failed too, the whole grant would count as spent, so its free tokens are moved to new grants.
 	function withdrawUncertain(): GrantShare[] {
 		const {ledger} = follower.state();
 		const shares: GrantShare[] = [];
@@ -206,22 +206,22 @@
 		return shares;
 	}
 
-	async function decideBudget(budget: string): Promise<void> {
+	async function applyPolicy(budget: string): Promise<void> {
 		const decision = policy.decide(buildView(budget));
 		if (decision.claim > 0) {
-			await claimOnce(budget, decision.claim);
+			await claimOrJoin(budget, decision.claim);
 		} else if (decision.release > 0) {
 			await releaseTokens(holder.withdraw(budget, decision.release));
 		}
 	}
 
-	// Loans to an incarnation that has ended come back through its reports, once the grants are closed.
+	// Closes grants that are partly lent to an ended incarnation; unspent tokens return with the final reports on these grants.
 	async function closeLentGrants(): Promise<void> {
 		const {placement} = follower.state();
 		const grants = loans.listLentTo((daemon, incarnation) => follower.isLogUp() && !placement.isCurrent(daemon, incarnation));
 		await Promise.all([...grants].map(async grant => writer.commit({kind: 'close', grant, by: membership.self.id}, {
 			isFolded: state => state.ledger.findGrant(grant)?.waitsFor !== undefined || !state.ledger.findGrant(grant),
-			signal: AbortSignal.timeout(appendBound),
+			signal: AbortSignal.timeout(appendTimeoutMs),
 		})));
 	}
 
@@ -235,91 +235,92 @@
 		const budgets = [...follower.state().configuration.listBudgets()];
 		await Promise.all([
 			releaseTokens(uncertain),
-			finishGrants(),
+			closeUsedGrants(),
 			closeLentGrants(),
-			...budgets.map(async budget => decideBudget(budget.id)),
+			...budgets.map(async budget => applyPolicy(budget.id)),
 		]);
 	}
 
-	// Claims while the log answers, then borrows; several waiting requests share one search.
-	async function seekTokens(budget: string): Promise<LoanSearch> {
+	// Claims if the log is available, then borrows what is still missing.
+	async function searchTokens(budget: string): Promise<LoanSearch> {
 		if (follower.isLogUp() && isJoined()) {
 			const decision = policy.decide(buildView(budget));
 			if (decision.claim > 0) {
-				await Promise.race([claimOnce(budget, decision.claim), clock.sleep(claimPatience)]);
+				await Promise.race([claimOrJoin(budget, decision.claim), clock.sleep(claimTimeoutMs)]);
 			}
 		}
 
 		return holder.countFree(budget) < demand.countWanted(budget) ? loans.borrow(budget, demand.countWanted(budget)) : {reserved: 0, isComplete: true};
 	}
 
-	async function seekOnce(budget: string): Promise<LoanSearch> {
-		const running = seeks.get(budget);
+	// Runs one search per budget at a time, which concurrent requests share.
+	async function searchOrJoin(budget: string): Promise<LoanSearch> {
+		const running = searches.get(budget);
 		if (running) {
 			return running;
 		}
 
-		const seek = seekTokens(budget);
-		seeks.set(budget, seek);
-		const search = await seek;
-		seeks.delete(budget);
-		return search;
+		const search = searchTokens(budget);
+		searches.set(budget, search);
+		const result = await search;
+		searches.delete(budget);
+		return result;
 	}
 
-	async function waitForFreed(budget: string, signal: AbortSignal): Promise<void> {
+	async function waitForFreeTokens(budget: string, signal: AbortSignal): Promise<void> {
 		const freed = holder.events.once('freed');
-		await Promise.race([freed, clock.sleep(waitStep, signal)]);
+		await Promise.race([freed, clock.sleep(waitStepMs, signal)]);
 		freed.off();
 	}
 
 	async function waitForTokens(budget: string, amount: number, {patience, signal}: AcquireOptions): Promise<Result<Reservation, Failure>> {
-		const until = clock.now() + patience;
+		const deadline = clock.now() + patience;
 		let isBusy = false;
-		while (!signal.aborted && clock.now() < until) {
-			const search = await seekOnce(budget);
+		while (!signal.aborted && clock.now() < deadline) {
+			const search = await searchOrJoin(budget);
 			const reservation = holder.reserve(budget, amount);
 			if (reservation) {
 				return Ok(reservation);
 			}
 
-			demand.noteShort(budget);
-			isBusy = claims.has(budget) || shortage.mayEnd(budget, amount, search);
-			// Nothing in flight can free tokens: waiting would only hold the answer back.
+			demand.recordInsufficient(budget);
+			isBusy = claims.has(budget) || availability.mayBecomeAvailable(budget, amount, search);
+			// Nothing in flight can free tokens, so waiting would only delay the refusal.
 			if (!isBusy) {
 				break;
 			}
 
-			await waitForFreed(budget, signal);
+			await waitForFreeTokens(budget, signal);
 		}
 
-		const last = holder.reserve(budget, amount);
-		return last ? Ok(last) : Err(shortage.refuse(budget, amount, isBusy));
+		const lastReservation = holder.reserve(budget, amount);
+		return lastReservation ? Ok(lastReservation) : Err(availability.refuse(budget, amount, isBusy));
 	}
 
 	return {
 		listWanted: demand.listWanted,
-		isShort: demand.isShort,
+		isShort: demand.wasInsufficient,
 		syncGrants,
 
-		/** Reserves tokens for a request, waiting for some to become free if that can happen. */
-		async acquire(budget: string, amount: number, acquire: AcquireOptions): Promise<Result<Reservation, Failure>> {
+		/** Reserves tokens for a request, and waits for some to become free if that is possible. */
+		async acquire(budget: string, amount: number, acquireOptions: AcquireOptions): Promise<Result<Reservation, Failure>> {
 			const reservation = holder.reserve(budget, amount);
 			if (reservation) {
 				return Ok(reservation);
 			}
 
-			const stopWaiting = demand.startWaiting(budget, amount);
+			const stopWaiting = demand.addWaiting(budget, amount);
 			try {
-				return await waitForTokens(budget, amount, acquire);
+				return await waitForTokens(budget, amount, acquireOptions);
 			} finally {
 				stopWaiting();
 			}
 		},
 
-		/** Ends a reservation with what was billed to it. */
+		/** Ends a reservation with the shares billed to it. */
 		settle(reservation: Reservation, billed: readonly GrantShare[]): void {
 			holder.settle(reservation, billed);
-			demand.noteSpent(reservation.budget, sumShares(billed));
+			demand.recordSpent(reservation.budget, sumShares(billed));
 		},
 
 		async run(signal: AbortSignal): Promise<void> {
@@ -333,11 +334,11 @@
 			stopSync();
 		},
 
-		/** Gives everything back that no request uses, for a stop. */
+		/** Releases all tokens that no request uses, when the daemon stops. */
 		async returnAll(): Promise<void> {
 			await loans.repayAll();
 			await Promise.all(holder.listBudgets().map(async budget => releaseTokens(holder.withdraw(budget, holder.countFree(budget)))));
-			await finishGrants();
+			await closeUsedGrants();
 		},
 	};
 }
--- a/src/coordination/grant-keeper.test.ts
+++ b/src/coordination/grant-manager.test.ts
@@ -32,21 +32,21 @@
 	{kind: 'confirm', plan: 'p', by: 'operator'},
 ];
 
-type WorldOptions = {
-	/** Tokens that the other entry holds, of 1000 bought; default all. */
+type SimulationOptions = {
+	/** Tokens that the peer holds, of 1000 bought; default all. */
 	readonly heldByPeer?: number;
-	/** Milliseconds that a claim takes; default 0. */
-	readonly claimTime?: number;
+	/** Duration of a claim, in milliseconds; default 0. */
+	readonly claimDurationMs?: number;
 };
 
-/** An entry that holds nothing, beside another one. */
-function createWorld(borrow: () => Promise<LoanAnswer>, {heldByPeer = 1000, claimTime = 0}: WorldOptions = {}) {
+/** Simulates an entry daemon that holds no tokens, with one peer. */
+function createSimulation(borrow: () => Promise<LoanAnswer>, {heldByPeer = 1000, claimDurationMs = 0}: SimulationOptions = {}) {
 	const time = createVirtualTime();
 	const state = createFleetState({window: 1_000_000});
 	const emitter = new Emittery();
 	let isLogUp = true;
 	let isPeerAlive = true;
-	const asked: string[] = [];
+	const requestedLoans: string[] = [];
 
 	async function fold(record: LogRecord): Promise<void> {
 		state.fold({offset: state.next(), at: time.now(), data: record});
@@ -73,7 +73,7 @@
 	const follower = {events: emitter, state: () => state, isLogUp: () => isLogUp} as unknown as LogFollower;
 	const writer = {
 		async commit(record: LogRecord) {
-			await time.sleep(claimTime);
+			await time.sleep(claimDurationMs);
 			await fold(record);
 			return Ok(undefined);
 		},
@@ -83,21 +83,21 @@
 		connect: () => ({
 			peer: {
 				async borrow({loan}: {loan: string}) {
-					asked.push(loan);
+					requestedLoans.push(loan);
 					return borrow();
 				},
 			},
 		}),
 	} as unknown as FleetClient;
 	const loans = createLoanDesk({
-		holder, membership, fleet, clock: time, events, listMembers, listWanted: id => keeper.listWanted(id),
+		holder, membership, fleet, clock: time, events, listMembers, listWanted: id => manager.listWanted(id),
 	});
-	const keeper = createGrantKeeper({
+	const manager = createGrantKeeper({
 		follower, writer, membership, holder, loans, clock: time, events, policy: new AheadGrantPolicy(), every: 250,
 	});
 	return {
-		time, keeper,
-		listAsked: () => asked,
+		time, manager,
+		listRequestedLoans: () => requestedLoans,
 		setLogUp(value: boolean) {
 			isLogUp = value;
 		},
@@ -109,7 +109,7 @@
 				kind: 'leave', daemon: 'entry-1', incarnation: 'i', graceful: false, by: 'entry-2',
 			});
 		},
-		acquire: async (amount = 338) => keeper.acquire(budget, amount, {patience: 5000, signal: new AbortController().signal}),
+		acquire: async (amount = 338) => manager.acquire(budget, amount, {patience: 5000, signal: new AbortController().signal}),
 	};
 }
 
@@ -119,9 +119,9 @@
 
 const lendNothing = async (): Promise<LoanAnswer> => ({shares: [], reserved: 0});
 
-// Guards against a refusal as spent in the second in which an entry that holds the budget has died unnoticed.
-test('tokens of a peer that has just died are waited for', async () => {
-	const {time, acquire, suspectPeer, endPeer} = createWorld(failToAnswer);
+// Guards against a refusal as spent in the second before the death of the entry daemon that holds the budget is detected.
+test('a request waits for the tokens of a peer that has just died', async () => {
+	const {time, acquire, suspectPeer, endPeer} = createSimulation(failToAnswer);
 	const answer = acquire();
 	await time.runUntil(1000);
 	suspectPeer();
@@ -132,18 +132,18 @@
 	expect(reserved.ok).toBe(true);
 });
 
-// Guards against telling a caller to come back in half a minute because a peer kept silent.
-test('a peer that keeps silent is no reason to refuse as spent', async () => {
-	const {time, acquire} = createWorld(failToAnswer);
+// Guards against a retry delay of half a minute because a peer did not respond.
+test('a budget is not refused as spent while a peer does not respond', async () => {
+	const {time, acquire} = createSimulation(failToAnswer);
 	const answer = acquire();
 	await time.runUntil(6000);
 	const refused = await answer;
 	expect(refused.val).toMatchObject({type: 'budget-busy', ran: 'no', retryAfterMs: 2000});
 });
 
-// Guards against a refusal as spent while the log cannot take back what a silent peer holds.
-test('tokens of a silent peer while the log is down are refused at once, and not as spent', async () => {
-	const {time, acquire, setLogUp, suspectPeer} = createWorld(failToAnswer);
+// Guards against a refusal as spent while tokens of an unresponsive peer cannot be reclaimed because the log is unavailable.
+test('while the log is unavailable, tokens of an unresponsive peer are refused at once as busy', async () => {
+	const {time, acquire, setLogUp, suspectPeer} = createSimulation(failToAnswer);
 	setLogUp(false);
 	suspectPeer();
 	const answer = acquire();
@@ -152,21 +152,21 @@
 	expect(refused.val).toMatchObject({type: 'budget-busy', ran: 'no', retryAfterMs: 2000});
 });
 
-// Guards against a loan asked for anew in each step of a wait, each of which would lock tokens when answered late.
-test('a loan that is not answered is asked for again under its number', async () => {
-	const {time, acquire, listAsked} = createWorld(failToAnswer);
+// Guards against a new loan in each step of a wait; each would lock tokens if it was answered late.
+test('an unanswered loan request is repeated under the same ID', async () => {
+	const {time, acquire, listRequestedLoans} = createSimulation(failToAnswer);
 	const answer = acquire();
 	await time.runUntil(6000);
 	await answer;
-	expect(listAsked().length).toBeGreaterThan(5);
-	expect(new Set(listAsked()).size).toBe(1);
+	expect(listRequestedLoans().length).toBeGreaterThan(5);
+	expect(new Set(listRequestedLoans()).size).toBe(1);
 });
 
-// Guards against a refusal as spent because the claim under way was sized before the request came.
-test('a request that a running claim does not cover is claimed for', async () => {
-	const {time, keeper, acquire} = createWorld(lendNothing, {heldByPeer: 0, claimTime: 100});
+// Guards against a refusal as spent because the running claim was sized before the request arrived.
+test('tokens are claimed for a request that a running claim does not cover', async () => {
+	const {time, manager, acquire} = createSimulation(lendNothing, {heldByPeer: 0, claimDurationMs: 100});
 	const stopper = new AbortController();
-	void keeper.run(stopper.signal);
+	void manager.run(stopper.signal);
 	await time.runUntil(50);
 	const answer = acquire(700);
 	await time.runUntil(2000);
@@ -175,9 +175,9 @@
 	stopper.abort();
 });
 
-// Guards against waiting for tokens that no daemon has.
-test('a budget that every peer says is used up is refused at once as spent', async () => {
-	const {time, acquire} = createWorld(lendNothing);
+// Guards against waiting for tokens that no daemon holds.
+test('a budget that is used up according to every peer is refused at once as spent', async () => {
+	const {time, acquire} = createSimulation(lendNothing);
 	const answer = acquire();
 	await time.runUntil(500);
 	const refused = await answer;
--- a/src/coordination/grant-policy.test.ts
+++ b/src/coordination/grant-policy.test.ts
@@ -10,15 +10,15 @@
 	expect(policy.decide(view)).toEqual({claim: 4000, release: 0});
 });
 
-test('decide() claims a tenth of the share for an idle budget that weighs overspend', () => {
+test('decide() claims a tenth of the fair share for an idle budget that weighs overspend', () => {
 	expect(policy.decide({...view, weighs: 'overspend'})).toEqual({claim: 400, release: 0});
 });
 
-test('decide() claims what waiting requests need, as far as it remains', () => {
+test('decide() claims what waiting requests need, up to what remains', () => {
 	expect(policy.decide({...view, weighs: 'overspend', wanted: 9000})).toEqual({claim: 8000, release: 0});
 });
 
-test('decide() gives back what is far above the target', () => {
+test('decide() releases free tokens that far exceed the target', () => {
 	expect(policy.decide({
 		...view, remaining: 0, unspent: 1000, free: 1000, entries: 4,
 	})).toEqual({claim: 0, release: 750});
--- a/src/coordination/grant-policy.ts
+++ b/src/coordination/grant-policy.ts
@@ -1,35 +1,37 @@
 /**
- * How far ahead an entry daemon claims tokens of a budget.
+ * Policies that decide how far ahead an entry daemon claims tokens of a budget.
  *
- * No policy can overspend: a claim is worth what remains at its offset. What
- * differs is how many requests are refused while the log is away, and how many
- * tokens are locked when a holder dies or is cut off (docs/DECISIONS.md).
+ * No policy can overspend, because a claim grants at most what remains at its
+ * log offset. Policies differ in the number of requests refused while the log
+ * is unavailable, and of tokens locked when a holder dies or is cut off
+ * (docs/DECISIONS.md).
  *
  * @module
  */
 
-/** What one entry knows of a budget; amounts in tokens. */
+/** State of a budget as known to one entry daemon; amounts in tokens. */
 export type BudgetView = {
-	/** Not held by any grant. */
+	/** Not part of any grant. */
 	readonly remaining: number;
-	/** Not held by any grant, or held and not known as spent, by anyone. */
+	/** Not part of any grant, or granted to any daemon and not known to be spent. */
 	readonly unspent: number;
-	/** Free in this entry's grants. */
+	/** Free in this entry daemon's grants. */
 	readonly free: number;
-	/** Reserved by this entry's running requests. */
+	/** Reserved by this entry daemon's running requests. */
 	readonly reserved: number;
-	/** Asked for by requests that wait here. */
+	/** Needed by requests that wait at this entry daemon. */
 	readonly wanted: number;
-	/** Tokens a millisecond that this entry spent of late. */
+	/** Tokens that this entry daemon recently spent per millisecond. */
 	readonly rate: number;
-	/** Entries that answer, with this one. */
+	/** Number of entry daemons that respond, including this one. */
 	readonly entries: number;
-	/** Whether this entry has claimed of the budget before. */
+	/** True if this entry daemon has claimed from the budget before. */
 	readonly hasClaimed: boolean;
+	/** Whether avoiding refusals or locked tokens matters more for the budget. */
 	readonly weighs: 'refusals' | 'overspend';
 };
 
-/** What to do about a budget now. */
+/** Tokens to claim or release now. */
 export type GrantDecision = {
 	/** Tokens to claim; 0 for none. */
 	readonly claim: number;
@@ -37,68 +39,72 @@
 	readonly release: number;
 };
 
-/** Decides how far ahead to claim. */
+/** A policy that decides how far ahead to claim. */
 export abstract class GrantPolicy {
 	/** Name in measurements and settings. */
 	abstract readonly name: string;
 
-	/** Decides what to do about one budget. */
+	/** Decides how many tokens of one budget to claim or release. */
 	abstract decide(view: BudgetView): GrantDecision;
 }
 
 /** Options of {@linkcode AheadGrantPolicy}. */
 export type AheadGrantPolicyOptions = {
-	/** Demand to cover for budgets that weigh refusals, in milliseconds; default one hour. */
+	/** Duration of demand, in milliseconds, to cover for budgets that weigh refusals; default one hour. */
 	readonly horizon?: number;
 	/** The same for budgets that weigh overspend; default five minutes. */
 	readonly shortHorizon?: number;
 };
 
-const defaultHorizon = 3_600_000;
-const defaultShortHorizon = 300_000;
+const defaultHorizonMs = 3_600_000;
+const defaultShortHorizonMs = 300_000;
+/** Part of the fair share that is held without demand, for budgets that weigh refusals. */
 const idleShareRefusals = 1;
+/** The same for budgets that weigh overspend. */
 const idleShareOverspend = 0.1;
-const lowWater = 0.5;
-const highWater = 2;
+/** Tokens are claimed when those that are free fall below this share of the target. */
+const claimBelowShare = 0.5;
+/** Tokens are released when those that are free exceed this multiple of the target. */
+const releaseAboveFactor = 2;
 
-/** Claims a fair share of what is unspent, as far as the horizon's demand asks for. */
+/** Claims the expected demand within the horizon, up to a fair share of the unspent tokens. */
 export class AheadGrantPolicy extends GrantPolicy {
 	get name() {
 		return 'chosen';
 	}
 
-	readonly #horizon: number;
-	readonly #shortHorizon: number;
+	readonly #horizonMs: number;
+	readonly #shortHorizonMs: number;
 
 	constructor(options: AheadGrantPolicyOptions = {}) {
 		super();
-		this.#horizon = options.horizon ?? defaultHorizon;
-		this.#shortHorizon = options.shortHorizon ?? defaultShortHorizon;
+		this.#horizonMs = options.horizon ?? defaultHorizonMs;
+		this.#shortHorizonMs = options.shortHorizon ?? defaultShortHorizonMs;
 	}
 
 	decide(view: BudgetView): GrantDecision {
 		const target = this.#computeTarget(view);
 		const missing = view.wanted - view.free;
-		if (missing > 0 || view.free < target * lowWater) {
+		if (missing > 0 || view.free < target * claimBelowShare) {
 			const claim = Math.min(view.remaining, Math.max(missing, Math.floor(target - view.free)));
 			return {claim: Math.max(0, claim), release: 0};
 		}
 
 		const spare = view.free - Math.ceil(target);
-		return {claim: 0, release: view.free > target * highWater ? spare : 0};
+		return {claim: 0, release: view.free > target * releaseAboveFactor ? spare : 0};
 	}
 
-	// Near the end the fair share shrinks with what is unspent, and so do the claims.
+	// The fair share, and with it each claim, shrinks with the unspent part of the budget.
 	#computeTarget(view: BudgetView): number {
-		const fair = view.unspent / view.entries;
+		const fairShare = view.unspent / view.entries;
 		const weighsRefusals = view.weighs === 'refusals';
-		const idle = fair * (weighsRefusals ? idleShareRefusals : idleShareOverspend);
-		const demand = view.rate * (weighsRefusals ? this.#horizon : this.#shortHorizon);
-		return Math.min(fair, Math.max(idle, demand));
+		const idle = fairShare * (weighsRefusals ? idleShareRefusals : idleShareOverspend);
+		const demand = view.rate * (weighsRefusals ? this.#horizonMs : this.#shortHorizonMs);
+		return Math.min(fairShare, Math.max(idle, demand));
 	}
 }
 
-/** Baseline: asks the log for every request and holds nothing ahead. */
+/** Baseline: claims in the log for every request and never ahead. */
 export class LogFirstGrantPolicy extends GrantPolicy {
 	get name() {
 		return 'log-first';
--- a/src/coordination/grant-size.test.ts
+++ b/src/coordination/grant-size.test.ts
@@ -2,36 +2,36 @@
 import {computeGrant, type GrantView} from './grant-size.js';
 
 const view: GrantView = {
-	granted: 0, bound: 0, free: 0, wanted: 0, rate: 10, claimTime: 15, available: 4_000_000, holders: 4, isEnding: false,
+	granted: 0, bound: 0, free: 0, wanted: 0, rate: 10, claimDurationMs: 15, available: 4_000_000, claimers: 4, isEnding: false,
 };
 
-test('while much is left a grant covers seconds without the store', () => {
-	// Callers wait for tokens or are refused as soon as the store is slow or
-	// away for more than a second, though most of the budget is left.
+test('a grant covers seconds of demand without the store while much of the budget is left', () => {
+	// Guards against callers that wait or are refused as soon as the store is
+	// slow or unavailable for more than a second, although tokens are left.
 	expect(computeGrant(view)).toBeGreaterThanOrEqual(5000 * view.rate);
 });
 
-test('what all gateways hold free is a small share of what is left', () => {
-	// Everything loses power. The free tokens of all grants are lost, and
-	// customers are refused for the rest of the day though they bought enough.
+test('free tokens of all gateways together are a small share of the remaining budget', () => {
+	// Guards against refusals for the rest of the day after a power failure of
+	// all gateways, in which the free tokens of all grants are lost.
 	for (const available of [200_000, 100_000, 50_000]) {
 		expect(4 * computeGrant({...view, available})).toBeLessThanOrEqual(Math.max(0.16 * available, 4 * 500 * view.rate));
 	}
 });
 
-test('a fleet of many gateways strands no more than a fleet of few', () => {
+test('many gateways together hold no more free tokens than few', () => {
 	const few = 4 * computeGrant({...view, available: 100_000});
 	const many = 27 * computeGrant({
-		...view, available: 100_000, holders: 27, rate: view.rate * 4 / 27,
+		...view, available: 100_000, claimers: 27, rate: view.rate * 4 / 27,
 	});
 	expect(many).toBeLessThanOrEqual(few * 1.05);
 });
 
 test('a slow store makes grants larger', () => {
-	expect(computeGrant({...view, claimTime: 800})).toBeGreaterThan(computeGrant(view));
+	expect(computeGrant({...view, claimDurationMs: 800})).toBeGreaterThan(computeGrant(view));
 });
 
-test('what waiting requests ask for is granted whatever the cover', () => {
+test('tokens that waiting requests need are granted even if they exceed the target', () => {
 	expect(computeGrant({
 		...view, wanted: 30_000, available: 30_000, rate: 0.1,
 	})).toBe(30_000);
--- a/src/coordination/grant-size.ts
+++ b/src/coordination/grant-size.ts
@@ -1,55 +1,55 @@
 /**
- * How large a gateway's grant of one budget should be.
+ * Computes how large a gateway's grant of one budget should be.
  *
- * What a grant covers must last through the store's absences; what lies idle
- * in a grant is lost if its holder dies, and is missing elsewhere near the end
- * of the budget.
+ * A grant must cover the demand while the store is unavailable. Idle tokens in
+ * a grant are lost if its holder dies, and are missing at other gateways when
+ * the budget is nearly used up.
  *
  * @module
  */
 
-/** What a gateway knows of one budget; amounts in tokens. */
+/** State of one budget as known to a gateway; amounts in tokens. */
 export type GrantView = {
-	/** Total granted to it. */
+	/** Total granted to the gateway. */
 	readonly granted: number;
-	/** Part of the grant that cannot be given back. */
+	/** Part of the grant that cannot be released. */
 	readonly bound: number;
 	readonly free: number;
-	/** What waiting requests ask for. */
+	/** Tokens that waiting requests need. */
 	readonly wanted: number;
-	/** Tokens a millisecond spent of late. */
+	/** Tokens recently spent per millisecond. */
 	readonly rate: number;
-	/** Milliseconds that a claim takes of late. */
-	readonly claimTime: number;
-	/** What was bought less what was granted to others. */
+	/** Duration of the last claim, in milliseconds. */
+	readonly claimDurationMs: number;
+	/** Tokens bought minus those granted to other gateways. */
 	readonly available: number;
-	/** Gateways that may hold grants of the budget. */
-	readonly holders: number;
-	/** The gateway stops. */
+	/** Number of gateways that claim the budget. */
+	readonly claimers: number;
+	/** True if the gateway is stopping. */
 	readonly isEnding: boolean;
 };
 
 /**
- * Demand that a grant covers, in milliseconds, while much of the budget is
- * left: the store is away or slow for 5 s now and then, and a slow store takes
- * seconds for the claims of four gateways that collide.
+ * Duration of demand that a grant covers while much of the budget is left. The
+ * store is occasionally unavailable or slow for 5 s, and a slow store takes
+ * seconds for the colliding claims of four gateways.
  */
-const horizon = 5000;
-/** Demand that a grant covers towards the end of a budget, in milliseconds: 30 claims of a store that works. */
-const leastHorizon = 500;
-/** Claims that the cover must last for: with a slow store, 0.8 s a claim, it grows to several seconds. */
-const claimsCovered = 6;
-/** A grant is renewed when less than this share of what it should cover is free. */
-const renewBelow = 0.5;
-/** A grant is reduced when more than this multiple of what it should cover is free. */
-const reduceAbove = 2;
+const horizonMs = 5000;
+/** Duration of demand that a grant covers when the budget is nearly used up: 30 claims with a healthy store. */
+const minHorizonMs = 500;
+/** Number of additional claims whose duration a grant covers; with a slow store, at 0.8 s per claim, that is several seconds. */
+const coveredClaims = 6;
+/** A grant is increased when its free tokens fall below this share of the target. */
+const renewBelowShare = 0.5;
+/** A grant is reduced when its free tokens exceed this multiple of the target. */
+const reduceAboveFactor = 2;
 /**
- * Share of what is left of a budget that all gateways together may hold free.
- * What is free in a grant is lost when its holder dies, and when everything
- * loses power all of it is lost: a customer then lacks at most this share of
- * what it could still have used.
+ * Share of a budget's remaining tokens that all gateways together may hold
+ * free. Free tokens of a grant are lost when its holder dies. If all gateways
+ * lose power at once, a customer loses at most this share of what it could
+ * still have used.
  */
-const strandedShare = 0.16;
+const maxStrandedShare = 0.16;
 
 /**
  * Computes the total that a gateway should be granted.
@@ -57,12 +57,12 @@
  * @example
  * ```ts
  * computeGrant({
- *   granted: 0, bound: 0, free: 0, wanted: 500, rate: 0, claimTime: 10, available: 10_000, holders: 4, isEnding: false,
+ *   granted: 0, bound: 0, free: 0, wanted: 500, rate: 0, claimDurationMs: 10, available: 10_000, claimers: 4, isEnding: false,
  * }); // 500
  * ```
  *
- * @param view What it knows
- * @returns The total, never more than is available
+ * @param view State of the budget
+ * @returns The total to be granted: at most what is available, unless more is bound already
  */
 export function computeGrant(view: GrantView): number {
 	const available = Math.max(0, Math.floor(view.available));
@@ -71,19 +71,19 @@
 		return Math.min(granted, bound);
 	}
 
-	// What was bought has been lowered: what is not bound goes back.
+	// The budget was lowered, so tokens that are not bound are released.
 	if (granted > available) {
 		return Math.max(Math.min(granted, bound), available);
 	}
 
-	const rest = Math.max(0, available - bound);
-	const mayStrand = Math.max(rest * strandedShare / view.holders, view.rate * leastHorizon);
-	const cover = Math.min(view.rate * (horizon + (view.claimTime * claimsCovered)), mayStrand, rest);
-	const isShort = free < wanted || free < cover * renewBelow;
-	const isIdle = free > cover * reduceAbove && granted > bound;
-	if (!isShort && !isIdle) {
+	const remaining = Math.max(0, available - bound);
+	const maxStranded = Math.max(remaining * maxStrandedShare / view.claimers, view.rate * minHorizonMs);
+	const targetFree = Math.min(view.rate * (horizonMs + (view.claimDurationMs * coveredClaims)), maxStranded, remaining);
+	const isLow = free < wanted || free < targetFree * renewBelowShare;
+	const isIdle = free > targetFree * reduceAboveFactor && granted > bound;
+	if (!isLow && !isIdle) {
 		return granted;
 	}
 
-	return Math.max(Math.min(bound, granted), Math.min(available, Math.ceil(bound + wanted + cover)));
+	return Math.max(Math.min(bound, granted), Math.min(available, Math.ceil(bound + wanted + targetFree)));
 }
--- a/src/coordination/receipt-reporter.ts
+++ b/src/coordination/receipt-reporter.ts
@@ -1,5 +1,6 @@
 /**
- * Puts an upstream daemon's receipts on the log, and reports on closed grants.
+ * Appends an upstream daemon's receipts to the log and reports on closed
+ * grants.
  *
  * @module
  */
@@ -26,13 +27,13 @@
 	readonly every: number;
 };
 
-/** Puts receipts on the log. */
+/** Appends receipts and reports to the log. */
 export type ReceiptReporter = ReturnType<typeof createReceiptReporter>;
 
-const appendBound = 10_000;
+const appendTimeoutMs = 10_000;
 
 /**
- * Creates the reporter; `run` is its task.
+ * Creates a receipt reporter; `run` operates it until the signal is aborted.
  *
  * @example
  * ```ts
@@ -46,46 +47,46 @@
 	const {
 		self, follower, writer, table, clock, events,
 	} = options;
-	// Receipts belong to the incarnation that accepted the request: an ended one's come too late to be billed.
-	const books = new Map<string, ReceiptBook>();
-	const fenced = new Set<string>();
-	let reporting = false;
+	// Receipts belong to the incarnation that accepted the request; those of an ended incarnation come too late to be billed.
+	const receiptsByIncarnation = new Map<string, ReceiptBook>();
+	const fencedGrants = new Set<string>();
+	let isReporting = false;
 
 	function isCurrent(incarnation: string): boolean {
 		return follower.state().placement.isCurrent(self.id, incarnation);
 	}
 
-	function ensureBook(incarnation: string): ReceiptBook {
-		const book = books.get(incarnation) ?? createReceiptBook();
-		books.set(incarnation, book);
-		return book;
+	function ensureReceipts(incarnation: string): ReceiptBook {
+		const receipts = receiptsByIncarnation.get(incarnation) ?? createReceiptBook();
+		receiptsByIncarnation.set(incarnation, receipts);
+		return receipts;
 	}
 
-	async function flushBook(incarnation: string, book: ReceiptBook): Promise<boolean> {
-		for (let batch = book.peek(); batch; batch = book.peek()) {
+	async function flushIncarnation(incarnation: string, pending: ReceiptBook): Promise<boolean> {
+		for (let batch = pending.peek(); batch; batch = pending.peek()) {
 			const {sequence} = batch;
 			const record: RecordOf<'receipts'> = {
 				kind: 'receipts', sequence, daemon: self.id, incarnation, receipts: [...batch.receipts],
 			};
 			const result = await writer.commit(record, {
 				isFolded: state => !isCurrent(incarnation) || state.ledger.findLastBatch(formatIncarnation(self.id, incarnation)) >= sequence,
-				signal: AbortSignal.timeout(appendBound),
+				signal: AbortSignal.timeout(appendTimeoutMs),
 			});
 			if (result.err) {
 				return false;
 			}
 
-			book.confirm(sequence);
+			pending.confirm(sequence);
 		}
 
 		return true;
 	}
 
 	async function flush(): Promise<boolean> {
-		const flushed = await Promise.all([...books].map(async ([incarnation, book]) => {
-			const isFlushed = await flushBook(incarnation, book);
+		const flushed = await Promise.all([...receiptsByIncarnation].map(async ([incarnation, pending]) => {
+			const isFlushed = await flushIncarnation(incarnation, pending);
 			if (isFlushed && incarnation !== self.incarnation) {
-				books.delete(incarnation);
+				receiptsByIncarnation.delete(incarnation);
 			}
 
 			return isFlushed;
@@ -98,71 +99,71 @@
 	}
 
 	function listDueReports(): string[] {
-		const me = formatIncarnation(self.id, self.incarnation);
-		const due: string[] = [];
+		const ownKey = formatIncarnation(self.id, self.incarnation);
+		const dueGrants: string[] = [];
 		for (const grant of follower.state().ledger.listGrants()) {
-			if (grant.waitsFor?.includes(me)) {
-				// From here on new work under it is refused, so what is running now is all there will be.
-				fenced.add(grant.id);
+			if (grant.waitsFor?.includes(ownKey)) {
+				// New work under the grant is refused from now on, so only requests that are running now can still spend from it.
+				fencedGrants.add(grant.id);
 				if (!isInUse(grant.id)) {
-					due.push(grant.id);
+					dueGrants.push(grant.id);
 				}
 			}
 		}
 
-		return due;
+		return dueGrants;
 	}
 
-	// Receipts first, then the report: the log's order makes the report mean "that was all".
+	// Appends all receipts before the report, so that the position of the report in the log shows that none will follow.
 	async function reportClosed(): Promise<void> {
-		const due = listDueReports();
-		if (due.length === 0 || !await flush()) {
+		const dueGrants = listDueReports();
+		if (dueGrants.length === 0 || !await flush()) {
 			return;
 		}
 
-		const me = formatIncarnation(self.id, self.incarnation);
+		const ownKey = formatIncarnation(self.id, self.incarnation);
 		await writer.commit({
-			kind: 'report', grants: due, daemon: self.id, incarnation: self.incarnation,
+			kind: 'report', grants: dueGrants, daemon: self.id, incarnation: self.incarnation,
 		}, {
-			isFolded: state => due.every(grant => !state.ledger.findGrant(grant)?.waitsFor?.includes(me)),
-			signal: AbortSignal.timeout(appendBound),
+			isFolded: state => dueGrants.every(grant => !state.ledger.findGrant(grant)?.waitsFor?.includes(ownKey)),
+			signal: AbortSignal.timeout(appendTimeoutMs),
 		});
-		events.write('grantReported', {grants: due.length});
+		events.write('grantReported', {grants: dueGrants.length});
 	}
 
 	async function runRound(): Promise<void> {
-		if (reporting || !follower.isLogUp()) {
+		if (isReporting || !follower.isLogUp()) {
 			return;
 		}
 
-		reporting = true;
+		isReporting = true;
 		await flush();
 		await reportClosed();
-		reporting = false;
+		isReporting = false;
 	}
 
 	return {
 		add(incarnation: string, receipt: Receipt): void {
-			ensureBook(incarnation).add(receipt);
+			ensureReceipts(incarnation).add(receipt);
 		},
 
 		/**
-		 * Finds a grant under which no new work may start here.
+		 * Returns the first grant of the shares under which no new work may start.
 		 *
-		 * A holder that was paused past its grant's close still believes in
-		 * it; its request would be spent on tokens that others now hold.
+		 * A holder that was paused while its grant was closed still uses it;
+		 * its request would spend tokens that other daemons now hold.
 		 */
 		findFenced(shares: readonly GrantShare[], knownOffset: number): string | undefined {
 			const {ledger, next} = follower.state();
 			return shares.find(({grant}) => {
-				const known = ledger.findGrant(grant);
-				const hasEnded = !known && next() >= knownOffset;
-				return fenced.has(grant) || Boolean(known?.waitsFor) || hasEnded;
+				const grantState = ledger.findGrant(grant);
+				const hasEnded = !grantState && next() >= knownOffset;
+				return fencedGrants.has(grant) || Boolean(grantState?.waitsFor) || hasEnded;
 			})?.grant;
 		},
 
 		flush,
-		countWaiting: () => [...books.values()].reduce((total, book) => total + book.count(), 0),
+		countWaiting: () => [...receiptsByIncarnation.values()].reduce((total, receipts) => total + receipts.count(), 0),
 
 		async run(signal: AbortSignal): Promise<void> {
 			while (!signal.aborted) {
--- a/src/coordination/reclaimer.ts
+++ b/src/coordination/reclaimer.ts
@@ -1,9 +1,10 @@
 /**
- * Ends incarnations that were lost, so that their grants come back.
+ * Ends incarnations that are presumed failed, so that their grants can be
+ * reclaimed.
  *
- * A wrong suspicion does no harm: the ended daemon's grants are refused by
- * every upstream daemon before anyone else gets their rest, and it joins again
- * under a new incarnation.
+ * A false suspicion does no harm. Every upstream daemon refuses the ended
+ * daemon's grants before another daemon gets their remaining tokens, and the
+ * ended daemon joins again under a new incarnation.
  *
  * @module
  */
@@ -22,20 +23,20 @@
 	readonly membership: Membership;
 	readonly clock: Clock;
 	readonly events: EventLog;
-	/** True when requests here were short of a budget's tokens of late. */
+	/** Returns true if a request at this daemon recently lacked tokens of the budget. */
 	readonly isShort: (budget: string) => boolean;
-	/** Own grants of which a part is lent to a daemon that the predicate names. */
+	/** Returns the own grants that are partly lent to an incarnation that matches the predicate. */
 	readonly findLentTo: (isHolder: (daemon: string, incarnation: string) => boolean) => Iterable<string>;
 };
 
-/** Ends lost incarnations. */
+/** Ends incarnations that are presumed failed. */
 export type Reclaimer = ReturnType<typeof createReclaimer>;
 
-const roundPause = 500;
-const appendBound = 5000;
+const roundIntervalMs = 500;
+const appendTimeoutMs = 5000;
 
 /**
- * Creates the reclaimer; `run` is its task.
+ * Creates a reclaimer; `run` operates it until the signal is aborted.
  *
  * @example
  * ```ts
@@ -50,26 +51,27 @@
 		follower, writer, membership, clock, events,
 	} = options;
 
-	// One live entry ends a gone daemon; the log's order keeps a second one harmless. Need is known only where it is felt.
-	function isMyTask(lost: string): boolean {
-		if (!membership.isGone(lost)) {
+	// A daemon that is gone from the host list is ended by one live entry daemon; if a second one tries too, the order of the
+	// log makes that harmless. A daemon that is only suspected is ended by any daemon that needs its tokens.
+	function isResponsible(daemon: string): boolean {
+		if (!membership.isGone(daemon)) {
 			return true;
 		}
 
 		const live = membership.listLiveEntries(follower.state().placement.list()).map(member => member.daemon);
-		return rankByRendezvous(lost, [...live, membership.self.id])[0] === membership.self.id;
+		return rankByRendezvous(daemon, [...live, membership.self.id])[0] === membership.self.id;
 	}
 
-	function isLost(member: Readonly<Member>): boolean {
+	function isPresumedFailed(member: Readonly<Member>): boolean {
 		const peer = membership.get(member.daemon);
-		const isSilent = peer !== undefined && peer.isSuspected && peer.incarnation === member.incarnation;
-		// Ending an upstream daemon gives up on receipts it has not appended, so the host list must have lost it too.
-		// An entry that is only cut off still serves its callers from its grants; they are taken back when others need them.
-		return isSilent && (membership.isGone(member.daemon) || (member.role === 'entry' && isNeeded(member)));
+		const isUnresponsive = peer !== undefined && peer.isSuspected && peer.incarnation === member.incarnation;
+		// Ending an upstream daemon abandons receipts that it has not appended, so it must be gone from the host list too. An
+		// entry daemon that is only cut off still serves callers from its grants, which are reclaimed when others need them.
+		return isUnresponsive && (membership.isGone(member.daemon) || (member.role === 'entry' && hasNeededTokens(member)));
 	}
 
-	// What it holds of a budget that is short here: grants of its own, or loans from this daemon.
-	function isNeeded(member: Readonly<Member>): boolean {
+	// Returns true if the member holds tokens that this daemon lacks, in grants of its own or in loans from this daemon.
+	function hasNeededTokens(member: Readonly<Member>): boolean {
 		const {ledger} = follower.state();
 		for (const grant of ledger.listGrants()) {
 			if (grant.daemon === member.daemon && grant.incarnation === member.incarnation && options.isShort(grant.budget)) {
@@ -91,7 +93,7 @@
 		const {daemon, incarnation} = member;
 		await writer.commit({
 			kind: 'leave', daemon, incarnation, graceful: false, by: membership.self.id,
-		}, {isFolded: state => !state.placement.isCurrent(daemon, incarnation), signal: AbortSignal.timeout(appendBound)});
+		}, {isFolded: state => !state.placement.isCurrent(daemon, incarnation), signal: AbortSignal.timeout(appendTimeoutMs)});
 		events.write('grantClosed', {holder: daemon, incarnation});
 	}
 
@@ -99,11 +101,11 @@
 		async run(signal: AbortSignal): Promise<void> {
 			while (!signal.aborted) {
 				if (follower.isLogUp()) {
-					const lost = [...follower.state().placement.list()].filter(member => member.daemon !== membership.self.id && isLost(member) && isMyTask(member.daemon));
-					await Promise.all(lost.map(async member => endMember(member)));
+					const failedMembers = [...follower.state().placement.list()].filter(member => member.daemon !== membership.self.id && isPresumedFailed(member) && isResponsible(member.daemon));
+					await Promise.all(failedMembers.map(async member => endMember(member)));
 				}
 
-				await clock.sleep(roundPause, signal);
+				await clock.sleep(roundIntervalMs, signal);
 			}
 		},
 	};
--- a/src/coordination/settler.ts
+++ b/src/coordination/settler.ts
@@ -1,8 +1,9 @@
 /**
- * Finds out what requests cost whose answers were lost on the way.
+ * Determines the cost of requests whose answers were lost.
  *
- * A reservation stays until the upstream daemon has told, or has promised that
- * the request will never run there, or its incarnation has ended on the log.
+ * A reservation is kept until the upstream daemon has reported the cost or has
+ * promised that the request will never run there, or until the end of its
+ * incarnation is recorded in the log.
  *
  * @module
  */
@@ -13,12 +14,12 @@
 import type {LogFollower} from './log-follower.js';
 import type {Membership} from './membership.js';
 
-/** An attempt whose outcome is not known. */
+/** An attempt whose outcome is unknown. */
 export type OpenAttempt = {
 	readonly requestId: string;
 	readonly attempt: number;
 	readonly reservation: Reservation;
-	/** The upstream daemon it was sent to. */
+	/** The upstream daemon to which it was sent. */
 	readonly daemon: string;
 	readonly incarnation: string;
 };
@@ -35,11 +36,11 @@
 /** Settles attempts whose answers were lost. */
 export type Settler = ReturnType<typeof createSettler>;
 
-const askTimeout = 1500;
-const roundPause = 300;
+const fenceTimeoutMs = 1500;
+const roundIntervalMs = 300;
 
 /**
- * Creates the settler; `run` is its task.
+ * Creates a settler; `run` operates it until the signal is aborted.
  *
  * @example
  * ```ts
@@ -53,50 +54,50 @@
 	const {
 		follower, membership, fleet, keeper, clock,
 	} = options;
-	const open = new Set<OpenAttempt>();
+	const openAttempts = new Set<OpenAttempt>();
 
-	// The bill of an attempt by an ended incarnation: its logged receipt, laid on the shares in their order.
-	function billFromLog(attempt: OpenAttempt): GrantShare[] {
+	// Bills an attempt by an ended incarnation: allocates the cost of its logged receipt to the shares in order.
+	function computeBillFromLog(attempt: OpenAttempt): GrantShare[] {
 		const cost = follower.state().ledger.findAttemptCost(attempt.requestId, attempt.attempt);
 		return allocateShares(attempt.reservation.shares, cost);
 	}
 
-	async function askUpstream(attempt: OpenAttempt, address: string): Promise<readonly GrantShare[] | undefined> {
+	async function fenceAttempt(attempt: OpenAttempt, address: string): Promise<readonly GrantShare[] | undefined> {
 		try {
-			const reply = await fleet.connect(address).upstream.fence({requestId: attempt.requestId, attempt: attempt.attempt, from: membership.self.id}, {timeoutMs: askTimeout});
+			const reply = await fleet.connect(address).upstream.fence({requestId: attempt.requestId, attempt: attempt.attempt, from: membership.self.id}, {timeoutMs: fenceTimeoutMs});
 			return reply.state === 'running' ? undefined : reply.billed;
 		} catch {
 			return undefined;
 		}
 	}
 
-	async function settleOne(attempt: OpenAttempt): Promise<void> {
+	async function settleAttempt(attempt: OpenAttempt): Promise<void> {
 		const {placement} = follower.state();
 		const member = placement.get(attempt.daemon);
 		if (!placement.isCurrent(attempt.daemon, attempt.incarnation)) {
-			open.delete(attempt);
-			keeper.settle(attempt.reservation, billFromLog(attempt));
+			openAttempts.delete(attempt);
+			keeper.settle(attempt.reservation, computeBillFromLog(attempt));
 			return;
 		}
 
-		const billed = member && await askUpstream(attempt, member.address);
+		const billed = member && await fenceAttempt(attempt, member.address);
 		if (billed) {
-			open.delete(attempt);
+			openAttempts.delete(attempt);
 			keeper.settle(attempt.reservation, billed);
 		}
 	}
 
 	return {
 		add(attempt: OpenAttempt): void {
-			open.add(attempt);
+			openAttempts.add(attempt);
 		},
 
-		count: () => open.size,
+		count: () => openAttempts.size,
 
 		async run(signal: AbortSignal): Promise<void> {
 			while (!signal.aborted) {
-				await Promise.all([...open].map(async attempt => settleOne(attempt)));
-				await clock.sleep(roundPause, signal);
+				await Promise.all([...openAttempts].map(async attempt => settleAttempt(attempt)));
+				await clock.sleep(roundIntervalMs, signal);
 			}
 		},
 	};
--- a/src/coordination/token-lending.test.ts
+++ b/src/coordination/token-lending.test.ts
@@ -5,21 +5,21 @@
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
 
-function createLending(silent: readonly string[]) {
+function createLending(unresponsive: readonly string[]) {
 	const view: PeerView = {
 		daemon: 'e2', incarnation: 'i', address: 'e2', free: [], uses: [], version: 1, isLeaving: false, crashes: [],
 	};
 	return createTokenLending({
-		daemon: 'e1', account: createTokenAccount(), events, listViews: () => [view], listSilent: () => silent, countWanted: () => 0, ask: async () => 0,
+		daemon: 'e1', account: createTokenAccount(), events, listViews: () => [view], listSilent: () => unresponsive, countWanted: () => 0, ask: async () => 0,
 		clock: {now: () => 0, sleep: async () => undefined}, listHomes: () => [], isHome: () => true, claim: async () => undefined, onLent: () => undefined,
 	});
 }
 
-test('a search is complete when every gateway on the log has answered', async () => {
+test('a search is complete when every gateway recorded in the log has answered', async () => {
 	expect(await createLending([]).borrow('c1', {needed: 100, wanted: 300})).toEqual({tokens: 0, isComplete: true});
 });
 
-// Guards against a refusal for good while a gateway that has just started, or is cut off, has not said what it holds.
-test('a search is not complete while a gateway on the log keeps silent', async () => {
+// Guards against refusing a budget as exhausted while a gateway that has just started, or is cut off, has not reported what it holds.
+test('a search is incomplete while a gateway recorded in the log does not respond', async () => {
 	expect(await createLending(['e3']).borrow('c1', {needed: 100, wanted: 300})).toEqual({tokens: 0, isComplete: false});
 });
--- a/src/coordination/token-lending.ts
+++ b/src/coordination/token-lending.ts
@@ -1,6 +1,6 @@
 /**
- * Lending between gateways: a request that finds too few tokens here may use
- * another gateway's, also while the store is away.
+ * Lending between gateways: a request for which this gateway has insufficient
+ * tokens may use those of another gateway, also while the store is unavailable.
  *
  * @module
  */
@@ -8,17 +8,18 @@
 import type {PeerView, TokenAccount} from '../state/mod.js';
 import type {Clock} from '../transport/mod.js';
 
-/** A request for a loan. */
+/** A request for a loan, as one gateway sends it to another. */
 export type LendAsk = {
-	/** Unique; the same number gets the same answer. */
+	/** Unique ID of the loan; a repeated request gets the same answer. */
 	readonly loan: string;
 	readonly customer: string;
 	/** Tokens that waiting requests lack. */
 	readonly needed: number;
-	/** Tokens that would save asking again soon. */
+	/** Tokens with which the borrower would not need another loan soon. */
 	readonly wanted: number;
+	/** Name of the borrowing gateway. */
 	readonly from: string;
-	/** The lender claims what it lacks. */
+	/** True if the lender may claim tokens that it lacks itself. */
 	readonly mayClaim: boolean;
 };
 
@@ -28,46 +29,46 @@
 	readonly account: TokenAccount;
 	readonly events: EventLog;
 	readonly listViews: () => PeerView[];
-	/** Gateways that the log names as running and that have just fallen silent. */
+	/** Returns the gateways recorded as running in the log that recently became unresponsive or have not been heard yet. */
 	readonly listSilent: () => readonly string[];
-	/** What this gateway's own waiting requests ask for, in tokens. */
+	/** Returns the number of tokens that waiting requests of this gateway need. */
 	readonly countWanted: (customer: string) => number;
-	/** Gateways in the order in which they claim the customer's budget for others; none if each claims for itself. */
+	/** Returns the gateways in the order in which they take over the customer's budget; none if each claims for itself. */
 	readonly listHomes: (customer: string) => readonly string[];
-	/** True if this gateway claims the customer's budget. */
+	/** Returns true if this gateway claims the customer's budget. */
 	readonly isHome: (customer: string) => boolean;
-	/** Claims until so many tokens are free, for a gateway that asks. */
+	/** Claims tokens on behalf of another gateway. */
 	readonly claim: (customer: string, amount: number) => Promise<void>;
-	/** Called with what was lent to a gateway for which this one claims. */
+	/** Called with the amount lent to a gateway on whose behalf this one claims. */
 	readonly onLent: (customer: string, amount: number) => void;
 	readonly clock: Clock;
-	/** Asks one gateway; throws when it does not answer. */
-	readonly ask: (address: string, ask: LendAsk) => Promise<number>;
+	/** Requests a loan from one gateway and returns the tokens lent; throws if it does not answer. */
+	readonly ask: (address: string, request: LendAsk) => Promise<number>;
 };
 
-/** Lending between gateways. */
+/** Lends tokens to other gateways and borrows from them. */
 export type TokenLending = ReturnType<typeof createTokenLending>;
 
-/** What a search for tokens came to. */
+/** Outcome of a search for tokens. */
 export type BorrowOutcome = {
 	readonly tokens: number;
-	/** True when every gateway that is not taken for lost has said what it has. */
+	/** True if every gateway that is not presumed failed has answered. */
 	readonly isComplete: boolean;
 };
 
-/** What to borrow. */
-export type BorrowAsk = Pick<LendAsk, 'needed' | 'wanted'>;
+/** Amounts to borrow, in tokens. */
+export type BorrowAmounts = Pick<LendAsk, 'needed' | 'wanted'>;
 
-/** A gateway that did not answer is asked last for so long, in milliseconds. */
-const silentSpan = 2000;
-/** Homes of a budget that are asked; the second serves while the first is gone. */
-const homesAsked = 2;
-/** Other gateways that are asked for what is free there; each is a call in the way of a request. */
-const othersAsked = 6;
-/** Answers kept for requests that come again. */
-const answersKept = 2000;
-/** Share of its free tokens that a lender gives beyond what is needed now. */
-const generousShare = 0.5;
+/** Time for which a gateway that did not answer is asked after the others. */
+const unresponsivePeriodMs = 2000;
+/** Number of gateways that are asked as owners of a budget; the second lends while the first is unavailable. */
+const maxOwnersAsked = 2;
+/** Number of other gateways that are asked for free tokens; each call delays the request. */
+const maxOthersAsked = 6;
+/** Number of answers kept for repeated requests. */
+const maxStoredAnswers = 2000;
+/** A lender may lend more than is needed now, up to this share of its spare tokens. */
+const surplusShare = 0.5;
 
 /**
  * Creates the lending of one gateway.
@@ -77,19 +78,19 @@
  * const {tokens} = await lending.borrow('city-1', {needed: 1200, wanted: 3600});
  * ```
  *
- * @param options The account and the peers
+ * @param options The token account and the peers
  * @returns The lending
  */
 export function createTokenLending(options: CreateTokenLendingOptions) {
 	const {account, events, clock} = options;
 	const answers = new Map<string, Promise<number>>();
-	/** Clock at which a gateway did not answer. */
-	const silentAt = new Map<string, number>();
+	/** Time of the last unanswered request to each gateway. */
+	const unansweredAt = new Map<string, number>();
 	const searches = new Map<string, Promise<BorrowOutcome>>();
 
-	function dropOldAnswers(): void {
+	function evictOldAnswers(): void {
 		for (const loan of answers.keys()) {
-			if (answers.size <= answersKept) {
+			if (answers.size <= maxStoredAnswers) {
 				return;
 			}
 
@@ -97,87 +98,87 @@
 		}
 	}
 
-	function noteLoan(peer: PeerView, customer: string, lent: number): void {
+	function recordLoan(peer: PeerView, customer: string, lent: number): void {
 		if (lent > 0) {
 			account.addBorrowed(customer, lent);
 			events.write('loanTaken', {customer, from: peer.daemon, amount: lent});
 		}
 	}
 
-	// The lender may have subtracted before its answer was lost, so the number is sent again and not a new one; the request
-	// that lacks the tokens does not wait for it.
-	async function askAgain(peer: PeerView, ask: LendAsk): Promise<void> {
+	// Repeats the request under the same loan ID, because the lender may have subtracted the tokens before its answer was
+	// lost. The caller's request does not wait for this.
+	async function retryLoanRequest(peer: PeerView, request: LendAsk): Promise<void> {
 		try {
-			noteLoan(peer, ask.customer, await options.ask(peer.address, ask));
+			recordLoan(peer, request.customer, await options.ask(peer.address, request));
 		} catch (error) {
-			events.write('loanUnanswered', {peer: peer.daemon, customer: ask.customer, detail: (error as Error).message});
+			events.write('loanUnanswered', {peer: peer.daemon, customer: request.customer, detail: (error as Error).message});
 		}
 	}
 
-	async function askOne(peer: PeerView, ask: LendAsk): Promise<number | undefined> {
+	async function sendLoanRequest(peer: PeerView, request: LendAsk): Promise<number | undefined> {
 		try {
-			const lent = await options.ask(peer.address, ask);
-			noteLoan(peer, ask.customer, lent);
+			const lent = await options.ask(peer.address, request);
+			recordLoan(peer, request.customer, lent);
 			return lent;
 		} catch (error) {
-			events.write('loanUnanswered', {peer: peer.daemon, customer: ask.customer, detail: (error as Error).message});
-			silentAt.set(peer.daemon, clock.now());
-			void askAgain(peer, ask);
+			events.write('loanUnanswered', {peer: peer.daemon, customer: request.customer, detail: (error as Error).message});
+			unansweredAt.set(peer.daemon, clock.now());
+			void retryLoanRequest(peer, request);
 			return undefined;
 		}
 	}
 
-	function isSilent({daemon}: PeerView): boolean {
-		return clock.now() - (silentAt.get(daemon) ?? Number.NEGATIVE_INFINITY) < silentSpan;
+	function isUnresponsive({daemon}: PeerView): boolean {
+		return clock.now() - (unansweredAt.get(daemon) ?? Number.NEGATIVE_INFINITY) < unresponsivePeriodMs;
 	}
 
-	// Homes first, then those that have most free. Where each gateway claims for itself, all are asked.
-	function rankLenders(customer: string): {readonly homes: readonly PeerView[]; readonly others: readonly PeerView[]} {
+	// Ranks owners first, then gateways by free tokens. Where each gateway claims for itself, all of them are asked.
+	function rankLenders(customer: string): {readonly owners: readonly PeerView[]; readonly others: readonly PeerView[]} {
 		const countFree = (view: PeerView) => view.free.find(item => item.customer === customer)?.tokens ?? 0;
 		const byFree = options.listViews().sort((left, right) => countFree(right) - countFree(left));
-		const homes = options.listHomes(customer);
-		if (homes.length === 0) {
-			return {homes: [], others: byFree};
+		const owners = options.listHomes(customer);
+		if (owners.length === 0) {
+			return {owners: [], others: byFree};
 		}
 
 		const byName = new Map(byFree.map(view => [view.daemon, view]));
-		const ranked = homes.flatMap(home => byName.get(home) ?? []);
-		const first = [...ranked.filter(view => !isSilent(view)), ...ranked.filter(view => isSilent(view))].slice(0, homesAsked);
-		const others = byFree.filter(view => countFree(view) > 0).slice(0, othersAsked);
-		return {homes: first, others};
+		const ownerViews = owners.flatMap(owner => byName.get(owner) ?? []);
+		const lendingOwners = [...ownerViews.filter(view => !isUnresponsive(view)), ...ownerViews.filter(view => isUnresponsive(view))].slice(0, maxOwnersAsked);
+		const others = byFree.filter(view => countFree(view) > 0).slice(0, maxOthersAsked);
+		return {owners: lendingOwners, others};
 	}
 
-	async function search(customer: string, {needed, wanted}: BorrowAsk): Promise<BorrowOutcome> {
-		const wantedShare = wanted / Math.max(1, needed);
+	async function search(customer: string, {needed, wanted}: BorrowAmounts): Promise<BorrowOutcome> {
+		const wantedRatio = wanted / Math.max(1, needed);
 		const mayClaim = !options.isHome(customer);
 		let missing = needed;
 		let isComplete = options.listSilent().length === 0;
-		const askFor = async (peer: PeerView, claims: boolean) => {
-			const lent = await askOne(peer, {
-				loan: createId('l'), customer, needed: missing, wanted: Math.ceil(missing * wantedShare), from: options.daemon, mayClaim: claims,
+		const requestMissing = async (peer: PeerView, lenderMayClaim: boolean) => {
+			const lent = await sendLoanRequest(peer, {
+				loan: createId('l'), customer, needed: missing, wanted: Math.ceil(missing * wantedRatio), from: options.daemon, mayClaim: lenderMayClaim,
 			});
 			isComplete &&= lent !== undefined;
 			missing -= lent ?? 0;
 			return lent !== undefined;
 		};
 
-		const {homes, others} = rankLenders(customer);
-		let home: PeerView | undefined;
-		for (const peer of homes) {
-			if (!home && await askFor(peer, mayClaim)) {
-				home = peer;
+		const {owners, others} = rankLenders(customer);
+		let answeringOwner: PeerView | undefined;
+		for (const peer of owners) {
+			if (!answeringOwner && await requestMissing(peer, mayClaim)) {
+				answeringOwner = peer;
 			}
 		}
 
 		for (const peer of others) {
-			if (missing > 0 && peer !== home) {
-				await askFor(peer, false);
+			if (missing > 0 && peer !== answeringOwner) {
+				await requestMissing(peer, false);
 			}
 		}
 
-		// A home lends all or nothing; what the others brought may leave it less to lend.
-		if (home && missing > 0 && missing < needed) {
-			await askFor(home, mayClaim);
+		// An owner lends all that is missing or nothing; after the loans of the others it may be able to lend the remainder.
+		if (answeringOwner && missing > 0 && missing < needed) {
+			await requestMissing(answeringOwner, mayClaim);
 		}
 
 		return {tokens: needed - missing, isComplete};
@@ -187,15 +188,15 @@
 		return Math.max(0, account.countFree(customer) - options.countWanted(customer));
 	}
 
-	function giveLoan({customer, needed, wanted, from, mayClaim}: LendAsk): number {
+	function makeLoan({customer, needed, wanted, from, mayClaim}: LendAsk): number {
 		const spare = countSpare(customer);
-		// Guards against a large request that takes what is left of a budget from its home and is refused all the same: the
-		// rest would lie where no smaller request asks for it.
+		// A large request that is refused anyway must not take the remainder of a budget from its owner, because smaller
+		// requests at other gateways would not find it.
 		if (mayClaim && spare < needed) {
 			return 0;
 		}
 
-		const lent = account.lend(customer, Math.min(spare, Math.max(needed, Math.min(wanted, Math.floor(spare * generousShare)))));
+		const lent = account.lend(customer, Math.min(spare, Math.max(needed, Math.min(wanted, Math.floor(spare * surplusShare)))));
 		if (lent > 0) {
 			events.write('loanGiven', {customer, to: from, amount: lent});
 			if (mayClaim) {
@@ -206,36 +207,36 @@
 		return lent;
 	}
 
-	async function lend(ask: LendAsk): Promise<number> {
-		if (ask.mayClaim && countSpare(ask.customer) < ask.needed) {
-			await options.claim(ask.customer, ask.needed);
+	async function claimAndLend(request: LendAsk): Promise<number> {
+		if (request.mayClaim && countSpare(request.customer) < request.needed) {
+			await options.claim(request.customer, request.needed);
 		}
 
-		return giveLoan(ask);
+		return makeLoan(request);
 	}
 
 	return {
-		/** Lends what a peer needs, and some more if there is plenty; own waiting requests come first. */
-		async lend(ask: LendAsk): Promise<number> {
-			const known = answers.get(ask.loan);
+		/** Lends the tokens that a peer needs, and more if many are spare. Waiting requests of this gateway take precedence. */
+		async lend(request: LendAsk): Promise<number> {
+			const known = answers.get(request.loan);
 			if (known) {
 				return known;
 			}
 
-			const answer = lend(ask);
-			answers.set(ask.loan, answer);
-			dropOldAnswers();
+			const answer = claimAndLend(request);
+			answers.set(request.loan, answer);
+			evictOldAnswers();
 			return answer;
 		},
 
-		/** Borrows from the gateways that have most; requests of one customer that wait at once share a search. */
-		async borrow(customer: string, ask: BorrowAsk): Promise<BorrowOutcome> {
+		/** Borrows from the owner and the gateways with the most free tokens. Concurrent calls for one customer share a search. */
+		async borrow(customer: string, amounts: BorrowAmounts): Promise<BorrowOutcome> {
 			const running = searches.get(customer);
 			if (running) {
 				return running;
 			}
 
-			const started = search(customer, ask);
+			const started = search(customer, amounts);
 			searches.set(customer, started);
 			try {
 				return await started;
