--- a/src/coordination/admission.ts
+++ b/src/coordination/admission.ts
@@ -1,109 +1,112 @@
 /**
- * Bounds the requests that run at a gateway whose processor is full.
+ * Limits the number of concurrent requests at a gateway whose processor is
+ * overloaded.
  *
- * A gateway that takes more than its processor can serve is late with all of
- * it: each step of each request waits for the steps of all others. Requests
- * that it refuses at once can be served elsewhere in time.
+ * A gateway that accepts more requests than its processor can handle delays
+ * all of them, because each step of a request waits for the steps of all
+ * others. Requests that it refuses immediately can still be served in time by
+ * another gateway.
  *
  * @module
  */
 import {
 	Err, Ok, createFailure, type Failure, type Result,
 } from '../protocol/mod.js';
+
 /** Options of {@linkcode createAdmission}. */
 export type CreateAdmissionOptions = {
-	/** The shortest objective of any route, in milliseconds. */
+	/** Returns the shortest latency objective of any route, in milliseconds. */
 	readonly findObjective: () => number;
-	/** Draws a number from 0 to 1. */
+	/** Returns a random number between 0 and 1. */
 	readonly random: () => number;
-	/** Called when the bound changes from or to none. */
+	/** Called when a limit comes into force or is removed. */
 	readonly onChange: (change: {readonly isBounded: boolean; readonly running: number; readonly lagMs: number}) => void;
 };
 
-/** What a request asks for. */
-export type AdmissionAsk = {
+/** Properties of a request that decide on its admission. */
+export type AdmissionRequest = {
 	/** 0 is the most urgent. */
 	readonly priority: number;
-	/** Milliseconds that the caller waits. */
+	/** Time for which the caller waits, in milliseconds. */
 	readonly patience: number;
 };
 
-/** Bounds the requests that run. */
+/** Limits the number of concurrent requests. */
 export type Admission = ReturnType<typeof createAdmission>;
 
-/** Share of the shortest objective by which the event loop of a full gateway is late: a request takes several of its turns. */
-const fullShare = 0.25;
-/** Bounds on what counts as late, in milliseconds: a single long turn, and what any caller notices. */
-const fullRange = {least: 60, most: 100} as const;
-/** An event loop late by less than this share of what counts as full has room. */
-const freeShare = 0.4;
-/** Full rounds in a row that lower the bound; a pause of the process shows in one. */
-const fullRounds = 2;
-const decreaseShare = 0.85;
-/** Requests that may always run. */
-const leastBound = 4;
-/** A bound this many times what runs binds no more. */
-const looseFactor = 2;
-/** Share of the bound for each priority, the most urgent first; the last also for those after it. */
+/** Event loop lag that counts as overload, as a share of the shortest objective: a request takes several iterations of the loop. */
+const overloadLagShare = 0.25;
+/** Limits of the lag that counts as overload: a single long iteration stays below the minimum, and any caller notices the maximum. */
+const overloadLagRangeMs = {min: 60, max: 100} as const;
+/** Lag below which the limit is raised, as a share of the lag that counts as overload. */
+const recoveryLagShare = 0.4;
+/** Consecutive overloaded windows that lower the limit; a single pause of the process affects only one. */
+const overloadWindows = 2;
+const decreaseFactor = 0.85;
+/** Number of concurrent requests that are always admitted. */
+const minLimit = 4;
+/** The limit is removed when it exceeds the running requests by about this factor. */
+const unlimitedFactor = 2;
+/** Share of the limit for each priority, the most urgent first. The last also applies to all lower priorities. */
 const priorityShares = [1.25, 1, 0.8] as const;
-/** When a caller may come back, in milliseconds; it finds another gateway. */
-const returnRange = {least: 200, most: 600} as const;
-/** Share of its patience after which a caller comes back at the latest. */
-const returnShare = 0.25;
+/** Range of the retry-after time; the retry reaches another gateway. */
+const retryAfterRangeMs = {min: 200, max: 600} as const;
+/** Upper limit of the retry-after time, as a share of the time for which the caller waits. */
+const retryAfterShare = 0.25;
 
 /**
- * Creates an admission without a bound.
+ * Creates an admission control without a limit.
  *
- * The bound follows the lateness of the event loop: it is lowered by a share
- * while that is too late and raised by one while there is room (additive
+ * The limit follows the event loop lag: it is multiplied by a factor below one
+ * during overload and raised by one per window while the lag is low (additive
  * increase, multiplicative decrease).
  *
  * @example
  * ```ts
  * const entered = admission.enter({priority: 0, patience: 4000});
  * if (entered.ok) {
- * 	entered.val(); // leaves
+ * 	entered.val(); // called when the request ends
  * }
  * ```
  *
- * @param options The routes, and what is told of changes
- * @returns The admission
+ * @param options The shortest objective and the change callback
+ * @returns The admission control
  */
 export function createAdmission(options: CreateAdmissionOptions) {
 	let running = 0;
-	let bound = Number.POSITIVE_INFINITY;
-	let fullInRow = 0;
-	let lastLag = 0;
+	let limit = Number.POSITIVE_INFINITY;
+	let overloadsInRow = 0;
+	let lastLagMs = 0;
 
-	function setBound(next: number, lagMs: number): void {
-		const wasBounded = Number.isFinite(bound);
-		bound = next;
-		if (Number.isFinite(bound) !== wasBounded) {
-			options.onChange({isBounded: !wasBounded, running, lagMs: Math.round(lagMs)});
+	function setLimit(next: number, lagMs: number): void {
+		const wasLimited = Number.isFinite(limit);
+		limit = next;
+		if (Number.isFinite(limit) !== wasLimited) {
+			options.onChange({isBounded: !wasLimited, running, lagMs: Math.round(lagMs)});
 		}
 	}
 
-	function decideBound(lag: number): void {
-		const fullLag = Math.min(fullRange.most, Math.max(fullRange.least, options.findObjective() * fullShare));
-		fullInRow = lag > fullLag ? fullInRow + 1 : 0;
-		if (fullInRow >= fullRounds && running > leastBound) {
-			setBound(Math.max(leastBound, Math.min(bound, running) * decreaseShare), lag);
-		} else if (lag < fullLag * freeShare && Number.isFinite(bound)) {
-			setBound(bound > (running * looseFactor) + leastBound ? Number.POSITIVE_INFINITY : bound + 1, lag);
+	function updateLimit(lagMs: number): void {
+		const overloadLagMs = Math.min(overloadLagRangeMs.max, Math.max(overloadLagRangeMs.min, options.findObjective() * overloadLagShare));
+		overloadsInRow = lagMs > overloadLagMs ? overloadsInRow + 1 : 0;
+		if (overloadsInRow >= overloadWindows && running > minLimit) {
+			setLimit(Math.max(minLimit, Math.min(limit, running) * decreaseFactor), lagMs);
+		} else if (lagMs < overloadLagMs * recoveryLagShare && Number.isFinite(limit)) {
+			setLimit(limit > (running * unlimitedFactor) + minLimit ? Number.POSITIVE_INFINITY : limit + 1, lagMs);
 		}
 	}
 
-	function estimateReturn(patience: number): number {
-		const {least, most} = returnRange;
-		return Math.round(Math.min(patience * returnShare, least + (options.random() * (most - least))));
+	function chooseRetryAfterMs(timeoutMs: number): number {
+		const {min, max} = retryAfterRangeMs;
+		return Math.round(Math.min(timeoutMs * retryAfterShare, min + (options.random() * (max - min))));
 	}
 
 	return {
-		/** Takes a request, or says when to come back; what is returned ends its stay. */
-		enter({priority, patience}: AdmissionAsk): Result<() => void, Failure> {
+		/** Admits a request and returns a function to call when it ends, or refuses it with a retry-after time. */
+		enter({priority, patience}: AdmissionRequest): Result<() => void, Failure> {
 			const share = priorityShares[Math.min(priority, priorityShares.length - 1)]!;
-			if (running >= leastBound && running >= bound * share) {
-				return Err(createFailure('overloaded', `This gateway runs ${running} requests and is full`, {retryAfterMs: estimateReturn(patience)}));
+			if (running >= minLimit && running >= limit * share) {
+				return Err(createFailure('overloaded', `This gateway is overloaded with ${running} running requests`, {retryAfterMs: chooseRetryAfterMs(patience)}));
 			}
 
 			running += 1;
@@ -112,15 +115,15 @@
 			});
 		},
 
-		/** Requests that may run; infinite while nothing binds. */
-		countBound: () => bound,
-		/** How late the event loop was at most in the last round, in whole milliseconds. */
-		countLag: () => Math.round(lastLag),
+		/** Returns the maximum number of concurrent requests; infinite while there is no limit. */
+		countBound: () => limit,
+		/** Returns the maximum event loop lag of the last window, in whole milliseconds. */
+		countLag: () => Math.round(lastLagMs),
 
-		/** Takes how late the event loop was at most in the last round, in milliseconds. */
-		noteLag(lag: number): void {
-			lastLag = lag;
-			decideBound(lag);
+		/** Records the maximum event loop lag of the last window, in milliseconds, and adjusts the limit. */
+		noteLag(lagMs: number): void {
+			lastLagMs = lagMs;
+			updateLimit(lagMs);
 		},
 	};
 }
--- a/src/coordination/answer-relay.ts
+++ b/src/coordination/answer-relay.ts
@@ -1,5 +1,5 @@
 /**
- * Hands an upstream's answer to the caller: whole, or event by event.
+ * Relays an upstream's answer to the caller, either buffered or event by event.
  *
  * @module
  */
@@ -10,44 +10,47 @@
 import type {ForwardRequest} from './forward-types.js';
 
 /**
- * How far an upstream's answer got: `complete`; `failed`, the upstream's own
- * failure, kept back so that another upstream may be tried; or `broken`, it
- * broke off.
+ * Outcome of relaying an answer.
+ *
+ * - `complete`: the caller received the whole answer.
+ * - `failed`: the upstream answered with a server error. The answer is held
+ *   back so that another upstream can be tried; `deliver` sends it.
+ * - `broken`: the answer was incomplete or unusable.
  */
 export type RelayOutcome =
 	| {readonly kind: 'complete'}
-	| {readonly kind: 'failed'; readonly passOn: () => void}
-	/** `isTorn` says that its connection ended before the answer did. */
-	| {readonly kind: 'broken'; readonly detail: string; readonly isTorn: boolean};
+	| {readonly kind: 'failed'; readonly deliver: () => void}
+	/** `wasConnectionLost` is true if the connection ended before the answer was complete. */
+	| {readonly kind: 'broken'; readonly detail: string; readonly wasConnectionLost: boolean};
 
 /** Options of {@linkcode AnswerRelay.relay}. */
 export type RelayOptions = {
-	/** Called with the first event or the whole answer. */
-	readonly onFirst: () => void;
-	/** Called whenever something arrived. */
+	/** Called when the first event or the whole answer has arrived. */
+	readonly onFirstEvent: () => void;
+	/** Called whenever data arrives. */
 	readonly onProgress: () => void;
 };
 
-const firstFailureStatus = 500;
+const minServerErrorStatus = 500;
 
-/** Hands one request's answers to its caller. */
+/** Relays the answers to one request, possibly from several upstreams, to its caller. */
 export abstract class AnswerRelay {
 	constructor(protected readonly request: ForwardRequest, protected readonly wire: GatewayWire) {}
 
-	/** Events that the caller got. */
-	abstract get events(): number;
+	/** Number of events sent to the caller. */
+	abstract get eventCount(): number;
 
-	/** The event after which another upstream must go on; undefined to begin anew. */
-	abstract get lastEvent(): string | undefined;
+	/** Id of the event after which another upstream must resume; undefined to start from the beginning. */
+	abstract get lastEventId(): string | undefined;
 
-	/** True while another upstream may begin anew or go on, if the kind of request allows it. */
-	abstract canGoOn(): boolean;
+	/** True if the request can still be restarted or resumed at another upstream. */
+	abstract canRetry(): boolean;
 
-	/** Relays an answer whose head has arrived. */
+	/** Relays an answer whose status and headers have arrived. */
 	abstract relay(answer: UpstreamAnswer, options: RelayOptions): Promise<RelayOutcome>;
 
-	/** Reads a whole answer before any of it is passed on, so that one that breaks off can still be made good. */
-	protected async relayWhole(answer: UpstreamAnswer, options: RelayOptions): Promise<RelayOutcome> {
+	/** Buffers the whole answer before sending any of it, so that the request can be retried if the answer is incomplete. */
+	protected async relayBuffered(answer: UpstreamAnswer, options: RelayOptions): Promise<RelayOutcome> {
 		const chunks: Uint8Array[] = [];
 		try {
 			for await (const chunk of answer.chunks) {
@@ -55,65 +58,65 @@
 				options.onProgress();
 			}
 		} catch (error) {
-			return {kind: 'broken', detail: (error as Error).message, isTorn: true};
+			return {kind: 'broken', detail: (error as Error).message, wasConnectionLost: true};
 		}
 
-		const passOn = () => {
+		const deliver = () => {
 			this.request.answer.start(answer.status, this.wire.buildAnswerHeaders(answer.rawHeaders));
 			this.request.answer.end(Buffer.concat(chunks));
 		};
 
-		if (answer.status >= firstFailureStatus) {
-			return {kind: 'failed', passOn};
+		if (answer.status >= minServerErrorStatus) {
+			return {kind: 'failed', deliver};
 		}
 
-		options.onFirst();
-		passOn();
+		options.onFirstEvent();
+		deliver();
 		return {kind: 'complete'};
 	}
 }
 
-/** Relays answers that are passed on whole. */
-export class WholeAnswerRelay extends AnswerRelay {
-	get events() {
+/** Relays answers that are buffered in full before they are sent. */
+export class BufferedAnswerRelay extends AnswerRelay {
+	get eventCount() {
 		return 0;
 	}
 
-	get lastEvent() {
+	get lastEventId() {
 		return undefined;
 	}
 
-	canGoOn(): boolean {
+	canRetry(): boolean {
 		return this.request.route.kind === 'idempotent';
 	}
 
 	async relay(answer: UpstreamAnswer, options: RelayOptions): Promise<RelayOutcome> {
-		return this.relayWhole(answer, options);
+		return this.relayBuffered(answer, options);
 	}
 }
 
-/** Relays a stream event by event; a stream that breaks off may go on at another upstream. */
+/** Relays a stream event by event. An interrupted stream may be resumed at another upstream. */
 export class StreamAnswerRelay extends AnswerRelay {
-	#events = 0;
-	#lastEvent = this.request.lastEvent;
+	#eventCount = 0;
+	#lastEventId = this.request.lastEvent;
 
-	get events() {
-		return this.#events;
+	get eventCount() {
+		return this.#eventCount;
 	}
 
-	get lastEvent() {
-		return this.#lastEvent;
+	get lastEventId() {
+		return this.#lastEventId;
 	}
 
-	canGoOn(): boolean {
-		// Without an id, the place to go on from is unknown once an event was sent.
-		return this.request.route.isResumable && (this.#events === 0 || this.#lastEvent !== undefined);
+	canRetry(): boolean {
+		// Once an event has been sent, the resume position is known only if the events have ids.
+		return this.request.route.isResumable && (this.#eventCount === 0 || this.#lastEventId !== undefined);
 	}
 
 	async relay(answer: UpstreamAnswer, options: RelayOptions): Promise<RelayOutcome> {
 		const isStream = String(answer.headers['content-type'] ?? '').startsWith('text/event-stream');
 		if (answer.status !== 200 || !isStream) {
-			return this.#relayFailure(answer, options);
+			return this.#relayNonStream(answer, options);
 		}
 
 		const splitter = createEventSplitter();
@@ -122,46 +125,46 @@
 				options.onProgress();
 				const events = splitter.push(chunk);
 				if (events.length > 0) {
-					await this.#passOn(events, answer, options);
+					await this.#forwardEvents(events, answer, options);
 				}
 			}
 		} catch (error) {
-			return {kind: 'broken', detail: (error as Error).message, isTorn: true};
+			return {kind: 'broken', detail: (error as Error).message, wasConnectionLost: true};
 		}
 
-		if (splitter.rest().length > 0) {
-			return {kind: 'broken', detail: 'The stream ended in the middle of an event', isTorn: true};
+		if (splitter.getRemainder().length > 0) {
+			return {kind: 'broken', detail: 'The stream ended in the middle of an event', wasConnectionLost: true};
 		}
 
-		this.#start(answer);
+		this.#startAnswer(answer);
 		this.request.answer.end();
 		return {kind: 'complete'};
 	}
 
-	async #relayFailure(answer: UpstreamAnswer, options: RelayOptions): Promise<RelayOutcome> {
+	async #relayNonStream(answer: UpstreamAnswer, options: RelayOptions): Promise<RelayOutcome> {
 		if (this.request.answer.hasStarted()) {
 			answer.abandon();
-			return {kind: 'broken', detail: `The stream was not resumed: status ${answer.status}`, isTorn: false};
+			return {kind: 'broken', detail: `The stream was not resumed: status ${answer.status}`, wasConnectionLost: false};
 		}
 
-		return this.relayWhole(answer, options);
+		return this.relayBuffered(answer, options);
 	}
 
-	// A resumed stream keeps the head of the first upstream that sent an event.
-	#start(answer: UpstreamAnswer): void {
+	// A resumed stream keeps the status and headers of the first upstream that sent an event.
+	#startAnswer(answer: UpstreamAnswer): void {
 		if (!this.request.answer.hasStarted()) {
 			this.request.answer.start(answer.status, this.wire.buildAnswerHeaders(answer.rawHeaders));
 		}
 	}
 
-	async #passOn(events: readonly StreamEvent[], answer: UpstreamAnswer, options: RelayOptions): Promise<void> {
-		if (this.#events === 0) {
-			options.onFirst();
+	async #forwardEvents(events: readonly StreamEvent[], answer: UpstreamAnswer, options: RelayOptions): Promise<void> {
+		if (this.#eventCount === 0) {
+			options.onFirstEvent();
 		}
 
-		this.#start(answer);
-		this.#events += events.length;
-		this.#lastEvent = events.findLast(event => event.id !== undefined)?.id ?? this.#lastEvent;
+		this.#startAnswer(answer);
+		this.#eventCount += events.length;
+		this.#lastEventId = events.findLast(event => event.id !== undefined)?.id ?? this.#lastEventId;
 		const written = this.request.answer.write(events.length === 1 ? events[0]!.bytes : Buffer.concat(events.map(event => event.bytes)));
 		if (written) {
 			await written;
--- /dev/null
+++ b/src/coordination/crash-detector.test.ts
@@ -0,0 +1,44 @@
+import {expect, test} from 'vitest';
+import type {UpstreamEntry} from '../protocol/mod.js';
+import type {ProbeVerdict} from '../transport/mod.js';
+import {createCrashWatch} from './mod.js';
+
+const upstream: UpstreamEntry = {
+	id: 'u1', service: 's', address: '127.0.0.1:1', failureDomain: 'd', slots: 4, isDraining: false, warmUp: 0,
+};
+
+function createFixture(verdict: ProbeVerdict, isExpected = true) {
+	const state = {probes: 0, isExpected};
+	const detector = createCrashWatch({
+		isExpected: () => state.isExpected,
+		async probe() {
+			state.probes += 1;
+			return verdict;
+		},
+	});
+	return {state, detector};
+}
+
+test('an upstream that refuses connections after a lost connection has crashed', async () => {
+	const {state, detector} = createFixture('refused');
+	expect(await Promise.all([detector.hasCrashed(upstream), detector.hasCrashed(upstream)])).toEqual([true, true]);
+	expect(await detector.hasCrashed(upstream)).toBe(true);
+	expect(state.probes).toBe(1);
+});
+
+// Guards against suspecting each request whose connection a network device has reset.
+test('a connection reset is not a crash', async () => {
+	expect(await createFixture('open').detector.hasCrashed(upstream)).toBe(false);
+});
+
+// Guards against taking a network partition for a crash.
+test('an unanswered probe is not a crash', async () => {
+	expect(await createFixture('silent').detector.hasCrashed(upstream)).toBe(false);
+});
+
+// Guards against suspecting long requests that were interrupted because their upstream was released.
+test('the end of a leaving upstream is not a crash and is not probed', async () => {
+	const {state, detector} = createFixture('refused', false);
+	expect(await detector.hasCrashed(upstream)).toBe(false);
+	expect(state.probes).toBe(0);
+});
--- a/src/coordination/crash-watch.ts
+++ b/src/coordination/crash-watch.ts
@@ -1,8 +1,8 @@
 /**
- * Tells whether an upstream's process has ended under a request.
+ * Detects whether an upstream's process ended while it ran a request.
  *
- * A connection that breaks may have been reset alone, by something between the
- * two ends. A process that has ended also refuses new connections; the next
+ * A lost connection alone does not show this: a network device may have reset
+ * it. A process that has ended also refuses new connections, and the next
  * process at its address has another id.
  *
  * @module
@@ -11,65 +11,65 @@
 import type {ProbeVerdict} from '../transport/mod.js';
 
 /** Options of {@linkcode createCrashWatch}. */
-export type CreateCrashWatchOptions = {
-	/** True for an upstream that is listed and not leaving: the end of any other is no crash. */
+export type CreateCrashDetectorOptions = {
+	/** Returns true if an upstream is listed and not leaving. The end of any other upstream is not a crash. */
 	readonly isExpected: (upstream: string) => boolean;
-	/** Asks whether a process listens at an address. */
+	/** Probes whether a process listens at an address. */
 	readonly probe: (address: string) => Promise<ProbeVerdict>;
 };
 
-/** Tells whether upstreams have crashed. */
-export type CrashWatch = ReturnType<typeof createCrashWatch>;
+/** Detects crashes of upstreams. */
+export type CrashDetector = ReturnType<typeof createCrashWatch>;
 
-/** Upstreams of which it is remembered that they have crashed. */
-const crashedKept = 200;
+/** Number of crashed upstreams whose ids are kept. */
+const maxCrashedIds = 200;
 
 /**
- * Creates the watch.
+ * Creates a crash detector.
  *
  * @example
  * ```ts
- * await watch.hasCrashed(upstream); // asked when a sending to it was broken off
+ * await detector.hasCrashed(upstream); // called when the connection to it was lost during a request
  * ```
  *
- * @param options Upstreams and the way to them
- * @returns The watch
+ * @param options Whether upstreams are expected to run, and how to probe them
+ * @returns The crash detector
  */
-export function createCrashWatch(options: CreateCrashWatchOptions) {
-	const crashed = new Set<string>();
-	const probing = new Map<string, Promise<ProbeVerdict>>();
+export function createCrashWatch(options: CreateCrashDetectorOptions) {
+	const crashedIds = new Set<string>();
+	const pendingProbes = new Map<string, Promise<ProbeVerdict>>();
 
-	// All sendings that break at the same moment share a probe.
+	// Requests that lose their connections at the same time share one probe.
 	async function probeShared({id, address}: UpstreamEntry): Promise<ProbeVerdict> {
-		const pending = probing.get(id) ?? options.probe(address);
-		probing.set(id, pending);
+		const pending = pendingProbes.get(id) ?? options.probe(address);
+		pendingProbes.set(id, pending);
 		try {
 			return await pending;
 		} finally {
-			probing.delete(id);
+			pendingProbes.delete(id);
 		}
 	}
 
-	function keep(id: string): void {
-		crashed.add(id);
-		if (crashed.size > crashedKept) {
-			crashed.delete(crashed.values().next().value!);
+	function rememberCrash(id: string): void {
+		crashedIds.add(id);
+		if (crashedIds.size > maxCrashedIds) {
+			crashedIds.delete(crashedIds.values().next().value!);
 		}
 	}
 
 	return {
-		/** True if the process of an upstream to which a sending broke off has ended by itself. */
+		/** Returns true if the process of an upstream has crashed, after the connection to it was lost. */
 		async hasCrashed(upstream: UpstreamEntry): Promise<boolean> {
-			if (crashed.has(upstream.id)) {
+			if (crashedIds.has(upstream.id)) {
 				return true;
 			}
 
-			// Before the probe: what has crashed may be dropped from the list while it is waited for.
+			// Checked before the probe, because a crashed upstream may be removed from the list while the probe is pending.
 			if (!options.isExpected(upstream.id) || await probeShared(upstream) !== 'refused') {
 				return false;
 			}
 
-			keep(upstream.id);
+			rememberCrash(upstream.id);
 			return true;
 		},
 	};
--- a/src/coordination/loop-watch.test.ts
+++ b/src/coordination/event-loop-monitor.test.ts
@@ -2,8 +2,8 @@
 import {createVirtualTime} from '../../tools/measure/virtual-clock.js';
 import {runLoopWatch, type LoopStall} from './mod.js';
 
-/** Runs a watch on an event loop that stands still once, from `at` on. */
-async function playStall({at, span, cpuMs}: {readonly at: number; readonly span: number; readonly cpuMs: number}) {
+/** Monitors an event loop that stalls once, from `at` on. */
+async function runStall({at, stallMs, cpuMs}: {readonly at: number; readonly stallMs: number; readonly cpuMs: number}) {
 	const time = createVirtualTime();
 	const stopper = new AbortController();
 	const stalls: LoopStall[] = [];
@@ -12,10 +12,10 @@
 	void runLoopWatch({
 		clock: {
 			now: time.now,
-			async sleep(pause, signal) {
+			async sleep(durationMs, signal) {
 				const isStalling = !hasStalled && time.now() >= at;
 				hasStalled ||= isStalling;
-				await time.sleep(pause + (isStalling ? span : 0), signal);
+				await time.sleep(durationMs + (isStalling ? stallMs : 0), signal);
 			},
 		},
 		onRound(lag) {
@@ -24,23 +24,23 @@
 		onStall(stall) {
 			stalls.push(stall);
 		},
-		readWork: () => ({cpuMs: hasStalled && time.now() > at + span ? cpuMs : 0, connections: 0, requests: hasStalled ? 7 : 0}),
+		readWork: () => ({cpuMs: hasStalled && time.now() > at + stallMs ? cpuMs : 0, connections: 0, requests: hasStalled ? 7 : 0}),
 	}, stopper.signal);
-	await time.runUntil(at + span + 1000);
+	await time.runUntil(at + stallMs + 1000);
 	stopper.abort();
 	return {stalls, lags};
 }
 
-test('a stall is told with the processor time and the work in it', async () => {
-	const {stalls, lags} = await playStall({at: 5000, span: 3000, cpuMs: 2900});
+test('a stall is reported with the processor time and the requests during it', async () => {
+	const {stalls, lags} = await runStall({at: 5000, stallMs: 3000, cpuMs: 2900});
 	expect(stalls).toEqual([{
 		lateMs: 3000, cpuMs: 2900, connections: 0, requests: 7, upSeconds: 8,
 	}]);
 	expect(Math.max(...lags)).toBe(3000);
 });
 
-test('a loop that is only late is told by round and is no stall', async () => {
-	const {stalls, lags} = await playStall({at: 1000, span: 400, cpuMs: 400});
+test('a short lag is reported for its window and is not a stall', async () => {
+	const {stalls, lags} = await runStall({at: 1000, stallMs: 400, cpuMs: 400});
 	expect(stalls).toEqual([]);
 	expect(Math.max(...lags)).toBe(400);
 });
--- a/src/coordination/forward-types.ts
+++ b/src/coordination/forward-types.ts
@@ -1,5 +1,5 @@
 /**
- * What a request is to those who forward it.
+ * Types of a request that is forwarded to upstreams.
  *
  * @module
  */
@@ -7,24 +7,24 @@
 	Failure, Generation, RawHeaders, Route, GatewayService,
 } from '../protocol/mod.js';
 
-/** The way back to the caller. */
+/** Writes the answer to the caller. */
 export type CallerAnswer = {
-	/** True once a status was sent: from then on the answer can only go on or be cut. */
+	/** Returns true once the status has been sent. From then on the answer can only be continued or aborted. */
 	readonly hasStarted: () => boolean;
 	readonly start: (status: number, headers: RawHeaders) => void;
-	/** Writes a piece; what it returns is to be waited for while the caller reads too slowly. */
+	/** Writes data. Returns a promise to wait for if the caller reads too slowly (backpressure). */
 	readonly write: (bytes: Uint8Array) => Promise<void> | undefined;
 	readonly end: (bytes?: Uint8Array) => void;
-	/** Breaks the connection, so that the answer cannot look complete. */
+	/** Closes the connection in such a way that the answer cannot appear complete. */
 	readonly cut: () => void;
-	/** Answers with a failure of the gateway's own. */
+	/** Answers with a failure of the gateway itself. */
 	readonly refuse: (failure: Failure) => void;
 };
 
-/** A request that was admitted. */
+/** An admitted request. */
 export type ForwardRequest = {
 	readonly id: string | undefined;
-	/** Digest of what makes it the same request when it is sent again. */
+	/** Digest of the content that identifies the request when the caller sends it again. */
 	readonly digest: string;
 	readonly route: Route;
 	readonly service: GatewayService;
@@ -37,38 +37,38 @@
 	readonly body: Uint8Array | undefined;
 	readonly generation: Generation | undefined;
 	readonly lastEvent: string | undefined;
-	/** When the request began, in milliseconds of the steady clock. */
+	/** Start of the request, in milliseconds of the monotonic clock. */
 	readonly startedAt: number;
-	/** When it must have its final answer, in milliseconds of the steady clock. */
+	/** Time by which the final answer is due, in milliseconds of the monotonic clock. */
 	readonly deadline: number;
-	/** Aborted when the caller has left or the deadline has passed. */
+	/** Aborted when the caller disconnects or the deadline passes. */
 	readonly signal: AbortSignal;
 	readonly answer: CallerAnswer;
 };
 
-/** Why a request came to its end. */
+/** How a request ended. */
 export type ForwardResult = 'served' | 'passed-on' | 'refused' | 'failed' | 'cut';
 
-/** What became of a request. */
+/** Report on a request that has ended. */
 export type ForwardReport = {
 	readonly result: ForwardResult;
-	/** The upstream that was sent to last. */
+	/** The last upstream that was chosen for the request. */
 	readonly upstream: string | undefined;
-	/** Upstreams that it was sent to. */
+	/** Number of upstreams to which the request was sent. */
 	readonly sends: number;
-	/** An upstream may have begun to work on it. */
+	/** An upstream may have started to run the request. */
 	readonly mayHaveRun: boolean;
-	/** Events of a stream that the caller got. */
+	/** Number of stream events sent to the caller. */
 	readonly events: number;
-	/** Milliseconds to the first event or the whole answer. */
+	/** Milliseconds until the first event or the whole answer. */
 	readonly firstMs: number | undefined;
-	/** Tokens believed to be queued at that upstream when it was chosen. */
+	/** Estimated prompt tokens queued at that upstream when it was chosen. */
 	readonly waitingTokens: number | undefined;
-	/** Tokens of the prompt that it was believed to keep. */
+	/** Estimated tokens of the prompt that the upstream had cached. */
 	readonly cachedTokens: number | undefined;
-	/** That upstream was no longer listed when it was chosen, and took requests for a grace only. */
+	/** The upstream was no longer listed when it was chosen and accepted requests only during its grace period. */
 	readonly isOnGrace: boolean | undefined;
-	/** Age of what was known of upstreams when it was chosen, in milliseconds. */
+	/** Age of the upstream directory's data when the upstream was chosen, in milliseconds. */
 	readonly viewMs: number | undefined;
 	readonly reason?: string;
 };
--- a/src/coordination/loop-watch.ts
+++ b/src/coordination/loop-watch.ts
@@ -1,83 +1,81 @@
 /**
- * Watches how late the event loop is, and tells when it stood still.
+ * Monitors the lag of the event loop and reports stalls.
  *
  * @module
  */
 import type {Clock} from '../transport/mod.js';
 
-/** Work of a process since it started. */
+/** Counters of a process since it started. */
 export type ProcessWork = {
 	/** Processor time, in milliseconds. */
 	readonly cpuMs: number;
-	/** Connections of callers that were accepted. */
+	/** Accepted connections of callers. */
 	readonly connections: number;
-	/** Requests of callers that were begun. */
+	/** Requests of callers that were started. */
 	readonly requests: number;
 };
 
-/** A span in which the event loop took no turn. */
+/** A period in which the event loop did not run. */
 export type LoopStall = {
-	/** Whole milliseconds by which a timer was late. */
+	/** Lag of a timer, in whole milliseconds. */
 	readonly lateMs: number;
-	/** Whole milliseconds of processor time that the process got in it. */
+	/** Processor time of the process from the end of the window before the stall until after the stall, in whole milliseconds. */
 	readonly cpuMs: number;
-	/** Connections accepted from the look before the stall to the one after it. */
+	/** Connections accepted in the same period. */
 	readonly connections: number;
-	/** Requests begun from the look before the stall to the one after it. */
+	/** Requests started in the same period. */
 	readonly requests: number;
-	/** Seconds since the watch began. */
+	/** Seconds since monitoring began. */
 	readonly upSeconds: number;
 };
 
 /** Options of {@linkcode runLoopWatch}. */
-export type RunLoopWatchOptions = {
+export type MonitorEventLoopOptions = {
 	readonly clock: Clock;
-	/** Called with how late the event loop was at most in a round, in milliseconds. */
+	/** Called after each window with its maximum lag, in milliseconds. */
 	readonly onRound: (lag: number) => void;
 	/** Called after a stall. */
 	readonly onStall?: (stall: LoopStall) => void;
-	/** Reads what the process has done. */
+	/** Reads the counters of the process. */
 	readonly readWork?: () => ProcessWork;
 };
 
-/** Pause between looks at how late the event loop is, in milliseconds. */
-const lookEvery = 50;
-/** Length of a round, in milliseconds. */
-const roundSpan = 250;
-/** An event loop late by more than this, in milliseconds, stood still: callers wait a second for a new connection. */
-const stallLag = 1000;
+const sampleIntervalMs = 50;
+const windowMs = 250;
+/** Lag above which the event loop counts as stalled, because callers wait one second for a new connection. */
+const stallThresholdMs = 1000;
 const millisecondsPerSecond = 1000;
-const noWork: ProcessWork = {cpuMs: 0, connections: 0, requests: 0};
+const noStats: ProcessWork = {cpuMs: 0, connections: 0, requests: 0};
 
 /**
- * Watches the event loop until the signal is aborted.
+ * Monitors the event loop until the signal is aborted.
  *
  * @example
  * ```ts
  * void runLoopWatch({clock, onRound: admission.noteLag}, signal);
  * ```
  *
- * @param options The clock, and what is told
- * @param signal Ends the watch
+ * @param options The clock, the callbacks and the counters of the process
+ * @param signal Stops monitoring when aborted
  */
-export async function runLoopWatch(options: RunLoopWatchOptions, signal: AbortSignal): Promise<void> {
+export async function runLoopWatch(options: MonitorEventLoopOptions, signal: AbortSignal): Promise<void> {
 	const {
-		clock, onRound, onStall, readWork = () => noWork,
+		clock, onRound, onStall, readWork = () => noStats,
 	} = options;
 	const startedAt = clock.now();
 	let before = readWork();
 	while (!signal.aborted) {
-		let worst = 0;
-		const until = clock.now() + roundSpan;
-		while (clock.now() < until && !signal.aborted) {
-			const dueAt = clock.now() + lookEvery;
-			await clock.sleep(lookEvery, signal);
-			const lag = clock.now() - dueAt;
-			worst = Math.max(worst, lag);
-			if (lag > stallLag) {
+		let maxLagMs = 0;
+		const windowEndsAt = clock.now() + windowMs;
+		while (clock.now() < windowEndsAt && !signal.aborted) {
+			const dueAt = clock.now() + sampleIntervalMs;
+			await clock.sleep(sampleIntervalMs, signal);
+			const lagMs = clock.now() - dueAt;
+			maxLagMs = Math.max(maxLagMs, lagMs);
+			if (lagMs > stallThresholdMs) {
 				const after = readWork();
 				onStall?.({
-					lateMs: Math.round(lag),
+					lateMs: Math.round(lagMs),
 					cpuMs: Math.round(after.cpuMs - before.cpuMs),
 					connections: after.connections - before.connections,
 					requests: after.requests - before.requests,
@@ -86,7 +84,7 @@
 			}
 		}
 
-		onRound(worst);
+		onRound(maxLagMs);
 		before = readWork();
 	}
 }
--- a/src/coordination/metrics.test.ts
+++ b/src/coordination/metrics.test.ts
@@ -1,9 +1,9 @@
 import {expect, test} from 'vitest';
 import {createMetrics} from './mod.js';
 
-test('series beyond the limit are told together', () => {
-	// A gateway runs out of memory after weeks of changes of configuration:
-	// each route that ever was keeps its histograms.
+test('series beyond the limit are combined', () => {
+	// Guards against a gateway that runs out of memory after weeks of
+	// configuration changes, because removed routes keep their histograms.
 	const metrics = createMetrics();
 	for (let index = 0; index < 1000; index += 1) {
 		metrics.noteServed({customer: 'c', class: `r${index}`}, {
--- a/src/coordination/metrics.ts
+++ b/src/coordination/metrics.ts
@@ -1,17 +1,17 @@
 /**
- * Histograms and counters for each customer and class.
+ * Histograms and counters per customer and class.
  *
  * @module
  */
 import {build, type Histogram} from 'hdr-histogram-js';
 import type {FailureType} from '../protocol/mod.js';
 
-/** Whose request it was. */
+/** Labels by which requests are grouped. */
 export type MetricLabels = {readonly customer: string; readonly class: string};
 
-/** One served request. */
+/** Measurements of one served request. */
 export type ServedSample = {
-	/** Milliseconds to the first token; the whole answer for plain services. */
+	/** Milliseconds until the first token, or until the whole answer for plain services. */
 	readonly firstMs: number;
 	readonly totalMs: number;
 	/** Longest pause between two tokens, in milliseconds. */
@@ -19,27 +19,27 @@
 	readonly tokens: number;
 };
 
-/** Figures of one histogram, in milliseconds. */
-export type HistogramFigures = {readonly count: number; readonly p50: number; readonly p95: number; readonly p99: number; readonly max: number};
+/** Summary of one histogram, in milliseconds. */
+export type HistogramSummary = {readonly count: number; readonly p50: number; readonly p95: number; readonly p99: number; readonly max: number};
 
-/** Figures of one customer and class. */
+/** Metrics of one customer and class. */
 export type MetricRow = MetricLabels & {
 	readonly served: number;
 	readonly tokens: number;
 	readonly refused: Readonly<Record<string, number>>;
-	readonly first: HistogramFigures;
-	readonly total: HistogramFigures;
-	readonly gap: HistogramFigures;
+	readonly first: HistogramSummary;
+	readonly total: HistogramSummary;
+	readonly gap: HistogramSummary;
 };
 
 /** Metrics of one daemon. */
 export type Metrics = ReturnType<typeof createMetrics>;
 
-const highestMs = 3_600_000;
-const scale = 10;
-/** Series kept; each takes about 30 KB. Requests beyond them are told together. */
-const seriesLimit = 200;
-const otherLabels: MetricLabels = {customer: 'other', class: 'other'};
+const maxTrackedMs = 3_600_000;
+const unitsPerMs = 10;
+/** Each series takes about 30 KB. Requests that would need further series are counted together. */
+const maxSeries = 200;
+const overflowLabels: MetricLabels = {customer: 'other', class: 'other'};
 
 type Series = {
 	readonly labels: MetricLabels;
@@ -53,19 +53,19 @@
 
 /** @internal */
 function createHistogram(): Histogram {
-	return build({highestTrackableValue: highestMs * scale, numberOfSignificantValueDigits: 2, bitBucketSize: 32});
+	return build({highestTrackableValue: maxTrackedMs * unitsPerMs, numberOfSignificantValueDigits: 2, bitBucketSize: 32});
 }
 
 /** @internal */
-function record(histogram: Histogram, milliseconds: number): void {
-	histogram.recordValue(Math.min(highestMs * scale, Math.max(0, Math.round(milliseconds * scale))));
+function recordMs(histogram: Histogram, valueMs: number): void {
+	histogram.recordValue(Math.min(maxTrackedMs * unitsPerMs, Math.max(0, Math.round(valueMs * unitsPerMs))));
 }
 
 /** @internal */
-function readFigures(histogram: Histogram): HistogramFigures {
-	const read = (percentile: number) => histogram.getValueAtPercentile(percentile) / scale;
+function summarizeHistogram(histogram: Histogram): HistogramSummary {
+	const read = (percentile: number) => histogram.getValueAtPercentile(percentile) / unitsPerMs;
 	return {
-		count: histogram.totalCount, p50: read(50), p95: read(95), p99: read(99), max: histogram.maxValue / scale,
+		count: histogram.totalCount, p50: read(50), p95: read(95), p99: read(99), max: histogram.maxValue / unitsPerMs,
 	};
 }
 
@@ -86,15 +86,15 @@
 		return `${labels.customer}\0${labels.class}`;
 	}
 
-	function ensureSeries(wanted: MetricLabels): Series {
-		const isKept = series.has(formatKey(wanted)) || series.size < seriesLimit;
-		const labels = isKept ? wanted : otherLabels;
+	function ensureSeries(requested: MetricLabels): Series {
+		const hasOwnSeries = series.has(formatKey(requested)) || series.size < maxSeries;
+		const labels = hasOwnSeries ? requested : overflowLabels;
 		const key = formatKey(labels);
-		const known = series.get(key) ?? {
+		const item = series.get(key) ?? {
 			labels, first: createHistogram(), total: createHistogram(), gap: createHistogram(), refused: new Map(), served: 0, tokens: 0,
 		};
-		series.set(key, known);
-		return known;
+		series.set(key, item);
+		return item;
 	}
 
 	function listRows(): MetricRow[] {
@@ -103,9 +103,9 @@
 			served: item.served,
 			tokens: item.tokens,
 			refused: Object.fromEntries(item.refused),
-			first: readFigures(item.first),
-			total: readFigures(item.total),
-			gap: readFigures(item.gap),
+			first: summarizeHistogram(item.first),
+			total: summarizeHistogram(item.total),
+			gap: summarizeHistogram(item.gap),
 		}));
 	}
 
@@ -114,9 +114,9 @@
 			const item = ensureSeries(labels);
 			item.served += 1;
 			item.tokens += sample.tokens;
-			record(item.first, sample.firstMs);
-			record(item.total, sample.totalMs);
-			record(item.gap, sample.gapMs);
+			recordMs(item.first, sample.firstMs);
+			recordMs(item.total, sample.totalMs);
+			recordMs(item.gap, sample.gapMs);
 		},
 
 		noteRefused(labels: MetricLabels, type: FailureType): void {
@@ -126,7 +126,7 @@
 
 		listRows,
 
-		/** The text that a scraper of metrics reads. */
+		/** Formats the metrics in the text format for scrapers. */
 		formatText(): string {
 			const lines: string[] = [];
 			for (const row of listRows()) {
@@ -137,12 +137,12 @@
 				}
 
 				for (const name of ['first', 'total', 'gap'] as const) {
-					const figures = row[name];
+					const summary = row[name];
 					lines.push(
-						`fireflylane_${name}_ms{${labels},quantile="0.5"} ${figures.p50}`,
-						`fireflylane_${name}_ms{${labels},quantile="0.95"} ${figures.p95}`,
-						`fireflylane_${name}_ms{${labels},quantile="0.99"} ${figures.p99}`,
-						`fireflylane_${name}_ms_count{${labels}} ${figures.count}`,
+						`fireflylane_${name}_ms{${labels},quantile="0.5"} ${summary.p50}`,
+						`fireflylane_${name}_ms{${labels},quantile="0.95"} ${summary.p95}`,
+						`fireflylane_${name}_ms{${labels},quantile="0.99"} ${summary.p99}`,
+						`fireflylane_${name}_ms_count{${labels}} ${summary.count}`,
 					);
 				}
 			}
--- a/src/coordination/placement-news.test.ts
+++ b/src/coordination/placement-gossip.test.ts
@@ -3,7 +3,7 @@
 import type {EventLog, GatewayService, Generation} from '../protocol/mod.js';
 import {createPeerViews, createUpstreamDirectory} from '../state/mod.js';
 import {
-	createPeerCatchUp, createPeerNews, createUpstreamBook, type UpstreamBook,
+	createPeerCatchUp, createPeerNews, createUpstreamBook, type UpstreamRegistry,
 } from './mod.js';
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
@@ -15,7 +15,7 @@
 
 type Gateway = ReturnType<typeof createGateway>;
 
-/** A gateway that places prompts and tells another one of them. */
+/** Creates a gateway that places prompts and announces them to another gateway. */
 function createGateway(daemon: string, {time, gateways}: {readonly time: ReturnType<typeof createVirtualTime>; readonly gateways: Gateway[]}) {
 	const directory = createUpstreamDirectory();
 	directory.put({
@@ -23,42 +23,42 @@
 	}, 0);
 	const views = createPeerViews();
 	const counts = {datagrams: 0};
-	const book: UpstreamBook = createUpstreamBook({
+	const registry: UpstreamRegistry = createUpstreamBook({
 		directory, clock: time, failureDomain: 'd', sumPeerUse: views.sumUse,
 		onUse() {
-			news.noteChange();
+			gossip.noteChange();
 		},
 		onPrompt(prompt) {
-			news.notePrompt(prompt);
+			gossip.notePrompt(prompt);
 		},
 	});
-	const news = createPeerNews({
+	const gossip = createPeerNews({
 		clock: time, events, daemon, views, random: () => 0.5,
 		listPeers: () => gateways.filter(gateway => gateway.daemon !== daemon).map(gateway => ({daemon: gateway.daemon, newsAddress: gateway.daemon})),
 		readOwn: () => ({
-			daemon, incarnation: 'i', address: daemon, free: [], uses: book.listUses(), version: 1, isLeaving: false, crashes: [],
+			daemon, incarnation: 'i', address: daemon, free: [], uses: registry.listUses(), version: 1, isLeaving: false, crashes: [],
 		}),
 		send(message) {
 			counts.datagrams += 1;
-			gateways.find(gateway => gateway.daemon !== daemon)!.news.take(message);
+			gateways.find(gateway => gateway.daemon !== daemon)!.gossip.take(message);
 		},
 		onView: () => undefined,
-		onPrompt: book.takePrompt,
+		onPrompt: registry.takePrompt,
 	});
 	return {
-		daemon, book, views, news, counts,
+		daemon, registry, views, gossip, counts,
 	};
 }
 
-function startPair() {
+function startGateways() {
 	const time = createVirtualTime();
 	const stopper = new AbortController();
 	const gateways: Gateway[] = [];
 	const sender = createGateway('sender', {time, gateways});
 	const receiver = createGateway('receiver', {time, gateways});
 	gateways.push(sender, receiver);
-	for (const {news} of gateways) {
-		void news.run(stopper.signal);
+	for (const {gossip} of gateways) {
+		void gossip.run(stopper.signal);
 	}
 
 	return {
@@ -66,33 +66,33 @@
 	};
 }
 
-function countCachedAt(book: UpstreamBook): number {
-	return book.listCandidates({...request, without: new Set()})[0]!.cachedTokens;
+function countCachedAt(registry: UpstreamRegistry): number {
+	return registry.listCandidates({...request, without: new Set()})[0]!.cachedTokens;
 }
 
-// Guards against two gateways that send prompts with one shared part to two upstreams in the same moment.
-test('another gateway learns of a prompt as it is placed', async () => {
-	const {time, stopper, sender, receiver} = startPair();
+// Guards against two gateways that send prompts with the same shared part to two upstreams at the same time.
+test('a placed prompt is announced to another gateway immediately', async () => {
+	const {time, stopper, sender, receiver} = startGateways();
 	await time.runUntil(1000);
-	const visit = sender.book.start('u1', request);
+	const tracker = sender.registry.trackRequest('u1', request);
 	await time.runUntil(1060);
 	expect(receiver.views.sumUse('u1')).toEqual({upstream: 'u1', inFlight: 1, waitingTokens: 12_000});
-	expect(countCachedAt(receiver.book)).toBe(12_000);
-	visit.noteFirst();
+	expect(countCachedAt(receiver.registry)).toBe(12_000);
+	tracker.recordFirstEvent();
 	await time.runUntil(1120);
 	expect(receiver.views.sumUse('u1')).toEqual({upstream: 'u1', inFlight: 1, waitingTokens: 0});
 	stopper.abort();
 });
 
-// Guards against shared parts that are read again because a gateway that starts takes all caches for empty.
-test('a gateway that starts is told what upstreams keep', async () => {
-	const {time, stopper, sender, receiver} = startPair();
-	sender.book.start('u1', request).end();
+// Guards against processing shared parts again because a starting gateway assumes that all caches are empty.
+test('a starting gateway receives the prompts that upstreams have cached', async () => {
+	const {time, stopper, sender, receiver} = startGateways();
+	sender.registry.trackRequest('u1', request).end();
 	const catchUp = createPeerCatchUp({
 		clock: time, events, findVersion: () => 1,
-		ask: async () => ({deployment: new Uint8Array(), prompts: sender.book.listCached(), crashes: []}),
+		ask: async () => ({deployment: new Uint8Array(), prompts: sender.registry.listCached(), crashes: []}),
 		onDeployment: () => undefined,
-		onPrompt: receiver.book.takePrompt,
+		onPrompt: receiver.registry.takePrompt,
 		onCrashes: () => undefined,
 		abandon: () => undefined,
 	});
@@ -100,22 +100,22 @@
 		daemon: 'sender', incarnation: 'i', address: 'sender', free: [], uses: [], version: 1, isLeaving: false, crashes: [],
 	});
 	await time.runUntil(200);
-	expect(sender.book.listCached()).toEqual([{upstream: 'u1', memory: 100_000, parts: generation.parts}]);
-	expect(countCachedAt(receiver.book)).toBe(12_000);
+	expect(sender.registry.listCached()).toEqual([{upstream: 'u1', memory: 100_000, parts: generation.parts}]);
+	expect(countCachedAt(receiver.registry)).toBe(12_000);
 	stopper.abort();
 });
 
-// Guards against messages for each step of each request, which a gateway on half a core answers seconds late.
-test('a busy gateway tells its placements in at most twenty messages a second', async () => {
-	const {time, stopper, sender} = startPair();
+// Guards against a message for each step of each request, which a gateway on half a core processes seconds late.
+test('a busy gateway announces its placements in at most twenty messages per second', async () => {
+	const {time, stopper, sender} = startGateways();
 	await time.runUntil(1000);
 	const before = sender.counts.datagrams;
 	for (let index = 0; index < 25; index += 1) {
-		const visit = sender.book.start('u1', request);
+		const tracker = sender.registry.trackRequest('u1', request);
 		await time.runUntil(1000 + (index * 40) + 20);
-		visit.noteFirst();
+		tracker.recordFirstEvent();
 		await time.runUntil(1000 + (index * 40) + 40);
-		visit.end();
+		tracker.end();
 	}
 
 	expect(sender.counts.datagrams - before).toBeLessThanOrEqual(20);
--- a/src/coordination/placement-policy.ts
+++ b/src/coordination/placement-policy.ts
@@ -1,126 +1,130 @@
 /**
- * Which upstream gets a request, when upstreams are reached directly.
+ * Policies by which a gateway, which connects to upstreams directly, chooses one
+ * for a request.
  *
  * @module
  */
 import type {Generation, PromptPart} from '../protocol/mod.js';
 import {rankByRendezvous} from './rendezvous.js';
 
-/** An upstream that may take the request. */
+/** An upstream to which the request may be sent. */
 export type PlacementCandidate = {
 	readonly id: string;
 	readonly slots: number;
-	/** Requests of all gateways there, as far as known. */
+	/** Requests in flight from all gateways, as far as known. */
 	readonly inFlight: number;
-	/** Prompt tokens there that are still to be read, of all gateways, as far as known. */
+	/** Prompt tokens from all gateways that the upstream has not processed yet, as far as known. */
 	readonly waitingTokens: number;
-	/** Tokens of this prompt that it is believed to keep. */
+	/** Tokens of this prompt that the upstream is assumed to have cached. */
 	readonly cachedTokens: number;
-	/** How much longer it takes than others for the same work; 1 is usual. */
+	/** Time for the same work relative to other upstreams; 1 is typical. */
 	readonly slowness: number;
-	/** Share of requests that failed there of late. */
+	/** Share of recent requests that failed. */
 	readonly failureShare: number;
 	readonly isSameDomain: boolean;
-	/** It is no longer listed and takes requests for a grace only. */
+	/** The upstream is no longer listed and accepts requests only during its grace period. */
 	readonly isOnGrace: boolean;
 };
 
-/** What a policy may know of a request. */
+/** Request data on which a policy may base its choice. */
 export type PlacementQuery = {
-	/** Names the request; a service's requests have nothing else in common. */
+	/** Request id; the rendezvous key of requests without a prompt. */
 	readonly id: string;
 	readonly generation: Generation | undefined;
 };
 
-/** Chooses among upstreams. */
+/** Chooses an upstream for a request. */
 export abstract class PlacementPolicy {
-	/** Picks one of at least one candidate. */
+	/** Picks the candidate with the lowest cost. There must be at least one candidate. */
 	pick(query: PlacementQuery, candidates: readonly PlacementCandidate[]): PlacementCandidate {
-		const ranks = new Map(rankByRendezvous(this.getKey(query), candidates.map(({id}) => id)).map((id, rank) => [id, rank]));
-		const cost = new Map(candidates.map(candidate => [candidate, this.estimateCost(query, candidate, ranks.get(candidate.id)!)]));
-		return candidates.toSorted((left, right) => cost.get(left)! - cost.get(right)!)[0]!;
+		const ranks = new Map(rankByRendezvous(this.getRendezvousKey(query), candidates.map(({id}) => id)).map((id, rank) => [id, rank]));
+		const costs = new Map(candidates.map(candidate => [candidate, this.estimateCost(query, candidate, ranks.get(candidate.id)!)]));
+		return candidates.toSorted((left, right) => costs.get(left)! - costs.get(right)!)[0]!;
 	}
 
-	/** Estimates what a candidate costs, in the policy's own unit. */
+	/** Estimates the cost of a candidate, in a unit of the policy's choice. */
 	abstract estimateCost(query: PlacementQuery, candidate: PlacementCandidate, rank: number): number;
 
-	/** What gateways agree on without talking: candidates are ranked by rendezvous on this. */
-	abstract getKey(query: PlacementQuery): string;
+	/** Returns the key for rendezvous hashing, which gives all gateways the same ranking without communication. */
+	abstract getRendezvousKey(query: PlacementQuery): string;
 }
 
-/** A failing upstream costs this much more of a request's work, for a failure share of 1. */
-const failureFactor = 4;
+/** Additional cost of an upstream with a failure share of 1, as a multiple of its cost without failures. */
+const failurePenalty = 4;
 
-/** Work of a request besides its prompt, in tokens of a prompt: connection, first step of the batch. */
-const baseTokens = 400;
-/** What a running request adds to the time of others, in tokens of a prompt: it takes part in each step. */
-const runningTokens = 40;
-/** Price of bytes between failure domains, in tokens of a prompt read again: about 8 KB a stream. */
-const otherDomainTokens = 600;
-/** Share of a shared part's tokens that leaving its first place costs: another request will want it there. */
-const movedShare = [0, 1.2, 2];
+/** Fixed work of a request in prompt tokens: the connection and the first step of the batch. */
+const baseRequestTokens = 400;
+/** Work that each running request adds for others, in prompt tokens, because it takes part in each step of the batch. */
+const runningRequestTokens = 40;
+/** Cost of the traffic between failure domains, about 8 KB per stream, in prompt tokens. */
+const crossDomainPenaltyTokens = 600;
+/** Cost by rendezvous rank, as a share of the uncached shared tokens: other requests expect the part at its first rank. */
+const rankPenaltyShares = [0, 1.2, 2];
 
-/** @internal The parts that other requests share: all but the last, which is the request's own. */
-function listShared(parts: readonly PromptPart[]): readonly PromptPart[] {
+/** @internal Returns the parts shared with other requests: all but the last, or the only one. */
+function listSharedParts(parts: readonly PromptPart[]): readonly PromptPart[] {
 	return parts.length > 1 ? parts.slice(0, -1) : parts;
 }
 
 /**
- * Places prompts by the prompt tokens to be read before the first event:
- * those queued there, and those of this prompt that are not cached there.
+ * Places prompts by the number of prompt tokens that an upstream must process
+ * before the first event: the queued ones, and those of this prompt that are
+ * not cached.
  *
- * A part that no cache is believed to keep goes where rendezvous on it points,
- * unless the queue there outweighs it. So gateways put the same part in the
- * same place without talking, and it is read once.
+ * A part that is assumed to be cached nowhere goes to the upstream with the
+ * first rendezvous rank, unless the queue there costs more. Gateways thus send
+ * the same part to the same upstream without communication, and it is
+ * processed only once.
  */
 export class PromptPlacementPolicy extends PlacementPolicy {
-	getKey({generation, id}: PlacementQuery): string {
+	getRendezvousKey({generation, id}: PlacementQuery): string {
 		const parts = generation?.parts ?? [];
 		return (parts.at(-2) ?? parts.at(-1))?.id ?? id;
 	}
 
 	estimateCost({generation}: PlacementQuery, candidate: PlacementCandidate, rank: number): number {
-		const prompt = generation?.promptTokens ?? 0;
-		const shared = listShared(generation?.parts ?? []).reduce((sum, part) => sum + part.tokens, 0);
-		const missing = Math.max(0, shared - candidate.cachedTokens);
-		const moved = missing * movedShare[Math.min(rank, movedShare.length - 1)]!;
-		const work = baseTokens + candidate.waitingTokens + (prompt - candidate.cachedTokens) + (candidate.inFlight * runningTokens);
-		const domain = candidate.isSameDomain ? 0 : otherDomainTokens;
-		return ((work * candidate.slowness) + moved + domain) * (1 + (candidate.failureShare * failureFactor));
+		const promptTokens = generation?.promptTokens ?? 0;
+		const sharedTokens = listSharedParts(generation?.parts ?? []).reduce((sum, part) => sum + part.tokens, 0);
+		const uncachedTokens = Math.max(0, sharedTokens - candidate.cachedTokens);
+		const rankPenalty = uncachedTokens * rankPenaltyShares[Math.min(rank, rankPenaltyShares.length - 1)]!;
+		const workTokens = baseRequestTokens + candidate.waitingTokens + (promptTokens - candidate.cachedTokens) + (candidate.inFlight * runningRequestTokens);
+		const domainPenalty = candidate.isSameDomain ? 0 : crossDomainPenaltyTokens;
+		return ((workTokens * candidate.slowness) + rankPenalty + domainPenalty) * (1 + (candidate.failureShare * failurePenalty));
 	}
 }
 
-/** Share of an upstream's places by which another failure domain must be emptier to be chosen. */
-const otherDomainLoad = 0.25;
-/** Weight of the rendezvous rank: it only parts equals, so that gateways do not all choose the same. */
-const rankLoad = 0.01;
+/** Difference in load, as a share of the slots, at which an upstream in another failure domain is preferred. */
+const crossDomainPenaltyLoad = 0.25;
+/** Weight of the rendezvous rank. It only breaks ties, so that gateways do not all choose the same upstream. */
+const rankPenaltyLoad = 0.01;
 
-/** Places requests of plain services by load, in the same failure domain if it is not much fuller. */
+/** Places requests to plain services by load, and in the same failure domain unless its load is much higher. */
 export class ServicePlacementPolicy extends PlacementPolicy {
-	getKey({id}: PlacementQuery): string {
+	getRendezvousKey({id}: PlacementQuery): string {
 		return id;
 	}
 
 	estimateCost(_query: PlacementQuery, candidate: PlacementCandidate, rank: number): number {
 		const load = (candidate.inFlight + 1) / candidate.slots;
-		return (load * candidate.slowness * (1 + (candidate.failureShare * failureFactor))) + (candidate.isSameDomain ? 0 : otherDomainLoad) + (rank * rankLoad);
+		return (load * candidate.slowness * (1 + (candidate.failureShare * failurePenalty))) + (candidate.isSameDomain ? 0 : crossDomainPenaltyLoad) + (rank * rankPenaltyLoad);
 	}
 }
 
-/** Running requests by which an upstream must be emptier to be chosen before one of a better rank. */
-const rankRunning = 1;
+/** Cost of each rendezvous rank, in running requests. */
+const rankPenaltyRequests = 1;
 
 /**
- * Places requests under which upstreams have crashed where little else runs:
- * if the request is the cause, whatever runs beside it is lost too. Each has an
- * order of its own, so that those that stood under the same crash part.
+ * Places requests suspected of crashing upstreams where the fewest others run,
+ * because a crash also fails the requests running beside the suspect. The
+ * ranking depends on the request id, so that suspects of the same crash are
+ * spread over several upstreams.
  */
 export class LeastRunningPolicy extends PlacementPolicy {
-	getKey({id}: PlacementQuery): string {
+	getRendezvousKey({id}: PlacementQuery): string {
 		return id;
 	}
 
 	estimateCost(_query: PlacementQuery, candidate: PlacementCandidate, rank: number): number {
-		return candidate.inFlight + (rank * rankRunning);
+		return candidate.inFlight + (rank * rankPenaltyRequests);
 	}
 }
--- a/src/coordination/rendezvous.ts
+++ b/src/coordination/rendezvous.ts
@@ -1,7 +1,7 @@
 /**
- * Rendezvous hashing: every daemon computes the same order of candidates for
- * a key, and a candidate that comes or goes moves only its own keys (Thaler
- * and Ravishankar, 1998).
+ * Rendezvous hashing: every daemon computes the same ranking of candidates for
+ * a key, and adding or removing a candidate moves only its own keys (Thaler and
+ * Ravishankar, 1998).
  *
  * @module
  */
@@ -20,9 +20,9 @@
  * rankByRendezvous('request-1', ['up-1', 'up-2']);
  * ```
  *
- * @param key What is to be placed
- * @param candidates Names of the candidates
- * @returns The candidates, the best first
+ * @param key Key to place
+ * @param candidates Ids of the candidates
+ * @returns The ids, best candidate first
  */
 export function rankByRendezvous(key: string, candidates: Iterable<string>): string[] {
 	const scored = [...candidates].map(candidate => ({candidate, score: computeScore(key, candidate)}));
--- a/src/coordination/request-forwarder.test.ts
+++ b/src/coordination/request-forwarder.test.ts
@@ -11,10 +11,10 @@
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
 
-/** What an upstream does with the next call. */
-type Script =
+/** How an upstream responds to the next call. */
+type UpstreamResponse =
 	| {readonly fails: CallFailure['kind']}
-	| {readonly status: number; readonly headers?: Record<string, string>; readonly chunks: readonly string[]; readonly breaks?: boolean; readonly isSilent?: boolean};
+	| {readonly status: number; readonly headers?: Record<string, string>; readonly chunks: readonly string[]; readonly isReset?: boolean; readonly hangs?: boolean};
 
 const wire: GatewayWire = {
 	readinessPath: '/ready',
@@ -29,17 +29,17 @@
 	formatRetryAfter: () => ['retry-after', '1'],
 };
 
-const stream = {'content-type': 'text/event-stream', mark: 'm', id: 'r1'};
-const whole = {mark: 'm', id: 'r1'};
+const streamHeaders = {'content-type': 'text/event-stream', mark: 'm', id: 'r1'};
+const bufferedHeaders = {mark: 'm', id: 'r1'};
 
-function createWorld(scripts: Script[]) {
+function createFixture(responses: UpstreamResponse[]) {
 	const clock = createSystemClock();
 	const directory = createUpstreamDirectory();
 	for (const id of ['u1', 'u2', 'u3']) {
-		const entry: UpstreamEntry = {
+		const registration: UpstreamEntry = {
 			id, service: 's', address: id, failureDomain: 'd', slots: 4, isDraining: false, warmUp: 0,
 		};
-		directory.put(entry, 0);
+		directory.put(registration, 0);
 	}
 
 	const crashed = new Set<string>();
@@ -47,23 +47,23 @@
 		book: createCrashBook(), daemon: 'g', listPeers: () => [], clock, events, onChange: () => undefined, onCrash: () => undefined,
 	});
 	const calls: UpstreamCall[] = [];
-	const sent = {
+	const received = {
 		status: 0, body: '', isCut: false, hasEnded: false, refused: undefined as Failure | undefined,
 	};
 
-	async function * readChunks(script: Exclude<Script, {fails: unknown}>, signal: AbortSignal): AsyncIterableIterator<Uint8Array> {
-		for (const chunk of script.chunks) {
+	async function * readChunks(response: Exclude<UpstreamResponse, {fails: unknown}>, signal: AbortSignal): AsyncIterableIterator<Uint8Array> {
+		for (const chunk of response.chunks) {
 			yield Buffer.from(chunk);
 		}
 
-		if (script.isSilent) {
+		if (response.hangs) {
 			await new Promise(resolve => {
 				signal.addEventListener('abort', resolve);
 			});
 			throw new Error('aborted');
 		}
 
-		if (script.breaks) {
+		if (response.isReset) {
 			throw new Error('reset');
 		}
 	}
@@ -79,14 +79,14 @@
 		client: {
 			async call(call) {
 				calls.push(call);
-				const script = scripts.shift() ?? {fails: 'broken'};
-				if ('fails' in script) {
-					return Err({kind: script.fails, detail: script.fails});
+				const response = responses.shift() ?? {fails: 'broken'};
+				if ('fails' in response) {
+					return Err({kind: response.fails, detail: response.fails});
 				}
 
-				const headers = script.headers ?? whole;
+				const headers = response.headers ?? bufferedHeaders;
 				return Ok({
-					status: script.status, headers, rawHeaders: Object.entries(headers).flat(), chunks: readChunks(script, call.signal), abandon: () => undefined,
+					status: response.status, headers, rawHeaders: Object.entries(headers).flat(), chunks: readChunks(response, call.signal), abandon: () => undefined,
 				});
 			},
 			close: async () => undefined,
@@ -95,7 +95,7 @@
 	const retries = createRetryBudget({share: 0.2, burst: 10});
 
 	async function forward(route: Partial<Route>, deadline = 5000) {
-		const leaving = new AbortController();
+		const callerGone = new AbortController();
 		const request: ForwardRequest = {
 			id: 'r1',
 			digest: 'd1',
@@ -104,24 +104,24 @@
 			},
 			service: {id: 's', connectionLimit: 10},
 			customer: undefined, priority: 0, method: 'POST', path: '/', rawHeaders: [], body: undefined, generation: undefined, lastEvent: undefined,
-			startedAt: clock.now(), deadline: clock.now() + deadline, signal: leaving.signal,
+			startedAt: clock.now(), deadline: clock.now() + deadline, signal: callerGone.signal,
 			answer: {
-				hasStarted: () => sent.status > 0,
+				hasStarted: () => received.status > 0,
 				start(status) {
-					sent.status = status;
+					received.status = status;
 				},
 				async write(bytes) {
-					sent.body += Buffer.from(bytes).toString();
+					received.body += Buffer.from(bytes).toString();
 				},
 				end(bytes) {
-					sent.body += Buffer.from(bytes ?? []).toString();
-					sent.hasEnded = true;
+					received.body += Buffer.from(bytes ?? []).toString();
+					received.hasEnded = true;
 				},
 				cut() {
-					sent.isCut = true;
+					received.isCut = true;
 				},
 				refuse(failure) {
-					sent.refused = failure;
+					received.refused = failure;
 				},
 			},
 		};
@@ -129,213 +129,217 @@
 	}
 
 	return {
-		forward, calls, sent, retries, directory, crashed, quarantine,
+		forward, calls, received, retries, directory, crashed, quarantine,
 	};
 }
 
-test('a booking whose answer is lost is not sent again and not called refused', async () => {
-	// A family is booked twice: the first upstream ran the booking and its
-	// answer was lost; the gateway took silence for "not run".
-	const world = createWorld([{fails: 'broken'}, {status: 200, chunks: ['ok']}]);
-	const report = await world.forward({kind: 'once'});
-	expect(world.calls.length).toBe(1);
-	expect(world.sent.refused?.type).toBe('outcome-unknown');
+test('a non-idempotent request whose answer is lost is neither sent again nor reported as refused', async () => {
+	// Guards against a double booking: the first upstream ran the booking, its
+	// answer was lost, and the gateway took the missing answer for "not run".
+	const fixture = createFixture([{fails: 'broken'}, {status: 200, chunks: ['ok']}]);
+	const report = await fixture.forward({kind: 'once'});
+	expect(fixture.calls.length).toBe(1);
+	expect(fixture.received.refused?.type).toBe('outcome-unknown');
 	expect(report.mayHaveRun).toBe(true);
 });
 
-test('a booking that was never sent goes to another upstream', async () => {
-	const world = createWorld([{fails: 'unsent'}, {status: 200, chunks: ['ok']}]);
-	const report = await world.forward({kind: 'once', attempts: 1});
-	expect(world.sent.body).toBe('ok');
+test('a non-idempotent request that was never sent is sent to another upstream', async () => {
+	const fixture = createFixture([{fails: 'unsent'}, {status: 200, chunks: ['ok']}]);
+	const report = await fixture.forward({kind: 'once', attempts: 1});
+	expect(fixture.received.body).toBe('ok');
 	expect(report.sends).toBe(1);
 });
 
-test('a booking that an upstream promises not to have run may be refused as such', async () => {
-	const world = createWorld([{status: 503, headers: {'not-run': '1'}, chunks: []}]);
-	const report = await world.forward({kind: 'once', attempts: 1});
-	expect(world.sent.refused?.type).toBe('overloaded');
-	expect(world.sent.refused?.ran).toBe('no');
+test('a non-idempotent request that the upstream states it did not run is refused as not run', async () => {
+	const fixture = createFixture([{status: 503, headers: {'not-run': '1'}, chunks: []}]);
+	const report = await fixture.forward({kind: 'once', attempts: 1});
+	expect(fixture.received.refused?.type).toBe('overloaded');
+	expect(fixture.received.refused?.ran).toBe('no');
 	expect(report.mayHaveRun).toBe(false);
 });
 
-test('an answer to another request is not passed on', async () => {
-	// A caller gets the answer to somebody else's request: the upstream sent an
-	// extra one, which stood where the next answer was due.
-	const world = createWorld([{status: 200, headers: {...whole, id: 'r0'}, chunks: ['theirs']}, {status: 200, chunks: ['mine']}]);
-	await world.forward({kind: 'idempotent'});
-	expect(world.sent.body).toBe('mine');
+test('an answer to another request is not relayed', async () => {
+	// Guards against a caller who receives another caller's answer: the upstream
+	// sent an extra answer, which was read in place of the next one.
+	const fixture = createFixture([{status: 200, headers: {...bufferedHeaders, id: 'r0'}, chunks: ['theirs']}, {status: 200, chunks: ['mine']}]);
+	await fixture.forward({kind: 'idempotent'});
+	expect(fixture.received.body).toBe('mine');
 });
 
-test('a booking that got another request\'s answer is not called refused', async () => {
-	// A family is told that its booking has not run, books again, and holds two
-	// slots: the booking was sent, and another request's answer came in its place.
-	const world = createWorld([{status: 200, headers: {...whole, id: 'r0'}, chunks: ['theirs']}]);
-	const report = await world.forward({kind: 'once'});
-	expect(world.sent.refused?.type).toBe('outcome-unknown');
+test('a non-idempotent request that received another request\'s answer is not reported as refused', async () => {
+	// Guards against a double booking: the booking was sent, another request's
+	// answer arrived in its place, and the caller was told that it had not run
+	// and booked again.
+	const fixture = createFixture([{status: 200, headers: {...bufferedHeaders, id: 'r0'}, chunks: ['theirs']}]);
+	const report = await fixture.forward({kind: 'once'});
+	expect(fixture.received.refused?.type).toBe('outcome-unknown');
 	expect(report.mayHaveRun).toBe(true);
 });
 
-test('an answer without the upstream\'s mark is not passed on as a success', async () => {
-	const world = createWorld([{status: 200, headers: {id: 'r1'}, chunks: ['forged']}]);
-	await world.forward({kind: 'once'});
-	expect(world.sent.refused?.type).toBe('outcome-unknown');
+test('an answer without the upstream signature is not relayed as a success', async () => {
+	const fixture = createFixture([{status: 200, headers: {id: 'r1'}, chunks: ['forged']}]);
+	await fixture.forward({kind: 'once'});
+	expect(fixture.received.refused?.type).toBe('outcome-unknown');
 });
 
-test('a torn answer to an idempotent request is made good elsewhere', async () => {
-	const world = createWorld([{status: 200, chunks: ['ha'], breaks: true}, {status: 200, chunks: ['whole']}]);
-	await world.forward({kind: 'idempotent'});
-	expect(world.sent.body).toBe('whole');
+test('an idempotent request whose answer is interrupted is retried at another upstream', async () => {
+	const fixture = createFixture([{status: 200, chunks: ['ha'], isReset: true}, {status: 200, chunks: ['whole']}]);
+	await fixture.forward({kind: 'idempotent'});
+	expect(fixture.received.body).toBe('whole');
 });
 
-test('a booking goes on from an address that another upstream has', async () => {
-	// All engines have lost power and come back under other names. The old
-	// entries stand for seconds, and a booking is refused though nobody ran it
-	// and the others are free, as its route allows one upstream only.
-	const world = createWorld([{status: 421, headers: {'not-run': '1'}, chunks: []}, {status: 200, chunks: ['ok']}]);
-	const report = await world.forward({kind: 'once', attempts: 1});
-	expect(world.sent.body).toBe('ok');
+test('a non-idempotent request is sent on when another upstream has the address', async () => {
+	// Guards against a refused booking after all engines have lost power and
+	// restarted under other ids. The old registrations remain for seconds, the
+	// route allows a single upstream, and the first one tried has moved, although
+	// no upstream ran the booking and others are free.
+	const fixture = createFixture([{status: 421, headers: {'not-run': '1'}, chunks: []}, {status: 200, chunks: ['ok']}]);
+	const report = await fixture.forward({kind: 'once', attempts: 1});
+	expect(fixture.received.body).toBe('ok');
 	expect(report.sends).toBe(1);
 });
 
-test('an upstream that was found gone from its address gets nothing until it registers again', async () => {
-	// Each request of a prompt goes to the same dead entry, one after the other.
-	const world = createWorld([{status: 421, headers: {'not-run': '1'}, chunks: []}, ...Array.from({length: 5}, () => ({status: 200, chunks: ['ok']}))]);
-	await world.forward({kind: 'idempotent'});
-	const moved = world.calls[0]!.address;
+test('an upstream that is no longer at its address gets no requests until it registers again', async () => {
+	// Guards against sending every request with the same prompt to the same stale
+	// registration, one after the other.
+	const fixture = createFixture([{status: 421, headers: {'not-run': '1'}, chunks: []}, ...Array.from({length: 5}, () => ({status: 200, chunks: ['ok']}))]);
+	await fixture.forward({kind: 'idempotent'});
+	const movedId = fixture.calls[0]!.address;
 	for (let index = 0; index < 4; index += 1) {
-		await world.forward({kind: 'idempotent'});
+		await fixture.forward({kind: 'idempotent'});
 	}
 
-	expect(world.calls.slice(1).map(({address}) => address)).not.toContain(moved);
-	world.directory.put(world.directory.get(moved)!, 1);
-	expect(world.directory.isLive(moved, 1)).toBe(true);
+	expect(fixture.calls.slice(1).map(({address}) => address)).not.toContain(movedId);
+	fixture.directory.put(fixture.directory.get(movedId)!, 1);
+	expect(fixture.directory.isLive(movedId, 1)).toBe(true);
 });
 
-test('going on from wrong addresses draws on the retry budget', async () => {
-	const world = createWorld(Array.from({length: 9}, () => ({status: 421, headers: {'not-run': '1'}, chunks: []})));
-	while (world.retries.take()) {
-		// Uses the budget up.
+test('retries after a send to a wrong address use up the retry budget', async () => {
+	const fixture = createFixture(Array.from({length: 9}, () => ({status: 421, headers: {'not-run': '1'}, chunks: []})));
+	while (fixture.retries.take()) {
+		// Exhausts the retry budget.
 	}
 
-	await world.forward({kind: 'once', attempts: 1});
-	expect(world.calls.length).toBe(1);
-	expect(world.sent.refused?.type).toBe('overloaded');
+	await fixture.forward({kind: 'once', attempts: 1});
+	expect(fixture.calls.length).toBe(1);
+	expect(fixture.received.refused?.type).toBe('overloaded');
 });
 
-test('an upstream\'s own failure is passed on when a second try fails too', async () => {
-	const world = createWorld([{status: 500, chunks: ['one']}, {status: 500, chunks: ['two']}]);
-	const report = await world.forward({kind: 'idempotent'});
-	expect(world.sent.status).toBe(500);
-	expect(world.sent.body).toBe('two');
+test('a server error of an upstream is relayed if the retry fails too', async () => {
+	const fixture = createFixture([{status: 500, chunks: ['one']}, {status: 500, chunks: ['two']}]);
+	const report = await fixture.forward({kind: 'idempotent'});
+	expect(fixture.received.status).toBe(500);
+	expect(fixture.received.body).toBe('two');
 	expect(report.result).toBe('passed-on');
 });
 
-test('a stream that breaks off in an event goes on after the last whole one', async () => {
-	// A letter arrives with half a sentence twice: the engine stopped in the
-	// middle of an event, and the next one began with that event anew.
-	const world = createWorld([
+test('a stream interrupted within an event resumes after the last complete event', async () => {
+	// Guards against duplicated text: the engine stopped in the middle of an
+	// event, and the next engine repeated that event from its start.
+	const fixture = createFixture([
 		{
-			status: 200, headers: stream, chunks: ['id: 1\ndata: a\n\nid: 2\nda'], breaks: true,
+			status: 200, headers: streamHeaders, chunks: ['id: 1\ndata: a\n\nid: 2\nda'], isReset: true,
 		},
-		{status: 200, headers: stream, chunks: ['id: 2\ndata: b\n\n']},
+		{status: 200, headers: streamHeaders, chunks: ['id: 2\ndata: b\n\n']},
 	]);
-	const report = await world.forward({isResumable: true});
-	expect(world.calls[1]!.headers[0]).toBe('1');
-	expect(world.sent.body).toBe('id: 1\ndata: a\n\nid: 2\ndata: b\n\n');
-	expect(world.sent.hasEnded).toBe(true);
+	const report = await fixture.forward({isResumable: true});
+	expect(fixture.calls[1]!.headers[0]).toBe('1');
+	expect(fixture.received.body).toBe('id: 1\ndata: a\n\nid: 2\ndata: b\n\n');
+	expect(fixture.received.hasEnded).toBe(true);
 	expect(report.events).toBe(2);
 });
 
-test('a stream that may not be resumed is cut, not ended', async () => {
-	const world = createWorld([{
-		status: 200, headers: stream, chunks: ['id: 1\ndata: a\n\n'], breaks: true,
+test('an interrupted stream that may not be resumed is aborted, not ended', async () => {
+	const fixture = createFixture([{
+		status: 200, headers: streamHeaders, chunks: ['id: 1\ndata: a\n\n'], isReset: true,
 	}]);
-	const report = await world.forward({isResumable: false});
-	expect(world.sent.isCut).toBe(true);
-	expect(world.sent.hasEnded).toBe(false);
+	const report = await fixture.forward({isResumable: false});
+	expect(fixture.received.isCut).toBe(true);
+	expect(fixture.received.hasEnded).toBe(false);
 	expect(report.result).toBe('cut');
 });
 
-test('a stream that ends in the middle of an event is not whole', async () => {
-	const world = createWorld([{status: 200, headers: stream, chunks: ['id: 1\ndata: a\n\nid: 2']}]);
-	await world.forward({isResumable: false});
-	expect(world.sent.isCut).toBe(true);
+test('a stream that ends in the middle of an event is incomplete', async () => {
+	const fixture = createFixture([{status: 200, headers: streamHeaders, chunks: ['id: 1\ndata: a\n\nid: 2']}]);
+	await fixture.forward({isResumable: false});
+	expect(fixture.received.isCut).toBe(true);
 });
 
-test('a silent stream goes on elsewhere if it may be resumed', async () => {
-	// A caller watches a stream stand still until its time is up: the
-	// connection to the engine went silent for good, and others would work.
-	const world = createWorld([
+test('a stalled stream that may be resumed continues at another upstream', async () => {
+	// Guards against a stream that stalls until its deadline because the
+	// connection to the engine no longer delivers data, although other engines
+	// are available.
+	const fixture = createFixture([
 		{
-			status: 200, headers: stream, chunks: ['id: 1\ndata: a\n\n'], isSilent: true,
+			status: 200, headers: streamHeaders, chunks: ['id: 1\ndata: a\n\n'], hangs: true,
 		},
-		{status: 200, headers: stream, chunks: ['id: 2\ndata: b\n\n']},
+		{status: 200, headers: streamHeaders, chunks: ['id: 2\ndata: b\n\n']},
 	]);
-	await world.forward({isResumable: true, objective: 100});
-	expect(world.sent.body).toBe('id: 1\ndata: a\n\nid: 2\ndata: b\n\n');
+	await fixture.forward({isResumable: true, objective: 100});
+	expect(fixture.received.body).toBe('id: 1\ndata: a\n\nid: 2\ndata: b\n\n');
 });
 
-test('attempts and the retry budget bound how often a request is sent', async () => {
-	const world = createWorld(Array.from({length: 9}, () => ({status: 500, chunks: ['x']})));
-	await world.forward({kind: 'idempotent', attempts: 2});
-	expect(world.calls.length).toBe(2);
-	while (world.retries.take()) {
-		// Uses the budget up.
+test('attempts and the retry budget limit how often a request is sent', async () => {
+	const fixture = createFixture(Array.from({length: 9}, () => ({status: 500, chunks: ['x']})));
+	await fixture.forward({kind: 'idempotent', attempts: 2});
+	expect(fixture.calls.length).toBe(2);
+	while (fixture.retries.take()) {
+		// Exhausts the retry budget.
 	}
 
-	await world.forward({kind: 'idempotent', attempts: 2});
-	expect(world.calls.length).toBe(3);
+	await fixture.forward({kind: 'idempotent', attempts: 2});
+	expect(fixture.calls.length).toBe(3);
 });
 
-test('describes an unknown outcome as such at the deadline', async () => {
-	const world = createWorld([{status: 200, chunks: [], isSilent: true}]);
-	await world.forward({kind: 'once'}, 60);
-	expect(world.sent.refused).toEqual(createFailure('deadline-passed', world.sent.refused!.detail, {ran: 'unknown'}));
+test('a request that may have run is reported with an unknown outcome at the deadline', async () => {
+	const fixture = createFixture([{status: 200, chunks: [], hangs: true}]);
+	await fixture.forward({kind: 'once'}, 60);
+	expect(fixture.received.refused).toEqual(createFailure('deadline-passed', fixture.received.refused!.detail, {ran: 'unknown'}));
 });
 
-test('a request that still waits for its connection is wanted until its upstream leaves', async () => {
-	const world = createWorld([{status: 200, chunks: ['ok']}]);
-	await world.forward({kind: 'idempotent'});
-	const [call] = world.calls;
+test('a request that waits for a connection is still wanted until its upstream drains', async () => {
+	const fixture = createFixture([{status: 200, chunks: ['ok']}]);
+	await fixture.forward({kind: 'idempotent'});
+	const [call] = fixture.calls;
 	expect(call!.isStillWanted()).toBe(true);
-	world.directory.put({...world.directory.get(call!.address)!, isDraining: true}, 1);
+	fixture.directory.put({...fixture.directory.get(call!.address)!, isDraining: true}, 1);
 	expect(call!.isStillWanted()).toBe(false);
 });
 
-// Guards against one sending of a caller's that ends an upstream with each of its attempts.
+// Guards against a single request that crashes one upstream with each of its attempts.
 test('a request under which two upstreams crashed is not sent to a third', async () => {
-	const world = createWorld([{fails: 'broken'}, {fails: 'broken'}, {status: 200, chunks: ['ok']}]);
-	world.crashed.add('u1').add('u2').add('u3');
-	await world.forward({kind: 'idempotent', attempts: 3});
-	expect(world.calls.length).toBe(2);
-	expect(world.sent.refused?.type).toBe('outcome-unknown');
-	expect(world.quarantine.listAll()).toMatchObject([{digest: 'd1', crashes: 2}]);
+	const fixture = createFixture([{fails: 'broken'}, {fails: 'broken'}, {status: 200, chunks: ['ok']}]);
+	fixture.crashed.add('u1').add('u2').add('u3');
+	await fixture.forward({kind: 'idempotent', attempts: 3});
+	expect(fixture.calls.length).toBe(2);
+	expect(fixture.received.refused?.type).toBe('outcome-unknown');
+	expect(fixture.quarantine.listAll()).toMatchObject([{digest: 'd1', crashes: 2}]);
 });
 
-// Guards against a suspicion of requests whose connections something in between resets.
-test('a request whose connection broke off at a live upstream is sent on and not suspected', async () => {
-	const world = createWorld([{fails: 'broken'}, {fails: 'broken'}, {status: 200, chunks: ['ok']}]);
-	await world.forward({kind: 'idempotent', attempts: 3});
-	expect(world.sent.body).toBe('ok');
-	expect(world.quarantine.listAll()).toEqual([]);
+// Guards against suspecting requests whose connections are reset by a network device.
+test('a request that loses its connection to a running upstream is retried and not suspected', async () => {
+	const fixture = createFixture([{fails: 'broken'}, {fails: 'broken'}, {status: 200, chunks: ['ok']}]);
+	await fixture.forward({kind: 'idempotent', attempts: 3});
+	expect(fixture.received.body).toBe('ok');
+	expect(fixture.quarantine.listAll()).toEqual([]);
 });
 
-test('an answer after a crash clears the request', async () => {
-	const world = createWorld([{fails: 'broken'}, {status: 200, chunks: ['ok']}]);
-	world.crashed.add('u1').add('u2').add('u3');
-	await world.forward({kind: 'idempotent'});
-	expect(world.quarantine.listAll()).toMatchObject([{digest: 'd1', crashes: 0}]);
-	expect(world.sent.body).toBe('ok');
+test('an answer after a crash clears the suspicion of the request', async () => {
+	const fixture = createFixture([{fails: 'broken'}, {status: 200, chunks: ['ok']}]);
+	fixture.crashed.add('u1').add('u2').add('u3');
+	await fixture.forward({kind: 'idempotent'});
+	expect(fixture.quarantine.listAll()).toMatchObject([{digest: 'd1', crashes: 0}]);
+	expect(fixture.received.body).toBe('ok');
 });
 
-// Guards against a suspicion of requests that their own time limit or a silent upstream has ended.
-test('a request that is given up is not suspected', async () => {
-	const script = {
-		status: 200, headers: stream, chunks: [], isSilent: true,
+// Guards against suspecting requests that ended because of their deadline or an unresponsive upstream.
+test('a request that is aborted by the gateway is not suspected', async () => {
+	const response = {
+		status: 200, headers: streamHeaders, chunks: [], hangs: true,
 	};
-	const world = createWorld([script]);
-	world.crashed.add('u1').add('u2').add('u3');
-	await world.forward({kind: 'stream'}, 100);
-	expect(world.calls.length).toBe(1);
-	expect(world.quarantine.listAll()).toEqual([]);
+	const fixture = createFixture([response]);
+	fixture.crashed.add('u1').add('u2').add('u3');
+	await fixture.forward({kind: 'stream'}, 100);
+	expect(fixture.calls.length).toBe(1);
+	expect(fixture.quarantine.listAll()).toEqual([]);
 });
--- a/src/coordination/request-forwarder.ts
+++ b/src/coordination/request-forwarder.ts
@@ -1,8 +1,8 @@
 /**
- * Takes an admitted request to upstreams until one has answered it.
+ * Forwards an admitted request to upstreams until one of them answers it.
  *
- * A request that may not be repeated is sent again only after a promise that
- * it has not run, or when nothing was sent.
+ * A request that is not idempotent is sent again only if nothing was sent yet
+ * or the upstream states that it did not run the request.
  *
  * @module
  */
@@ -13,9 +13,9 @@
 	type CallFailure, type Clock, type UpstreamAnswer, type UpstreamClient, createBound,
 } from '../transport/mod.js';
 import {
-	StreamAnswerRelay, WholeAnswerRelay, type AnswerRelay, type RelayOutcome,
+	StreamAnswerRelay, BufferedAnswerRelay, type AnswerRelay, type RelayOutcome,
 } from './answer-relay.js';
-import type {CrashWatch} from './crash-watch.js';
+import type {CrashDetector} from './crash-watch.js';
 import type {ForwardReport, ForwardRequest, ForwardResult} from './forward-types.js';
 import type {Quarantine} from './quarantine.js';
 import type {RetryBudget} from './retry-budget.js';
@@ -23,56 +23,57 @@
 import {
 	LeastRunningPolicy, PromptPlacementPolicy, ServicePlacementPolicy, type PlacementCandidate, type PlacementPolicy,
 } from './placement-policy.js';
-import type {UpstreamBook, UpstreamVisit} from './upstream-book.js';
+import type {UpstreamRegistry, UpstreamRequestTracker} from './upstream-book.js';
 
 /** Options of {@linkcode createRequestForwarder}. */
 export type CreateRequestForwarderOptions = {
 	readonly wire: GatewayWire;
 	readonly client: UpstreamClient;
-	readonly book: UpstreamBook;
-	/** The retry budget of a service. */
+	readonly book: UpstreamRegistry;
+	/** Returns the retry budget of a service. */
 	readonly findRetries: (service: string) => RetryBudget;
 	readonly quarantine: Pick<Quarantine, 'begin' | 'isSuspected' | 'maySendOn'>;
-	readonly crashes: CrashWatch;
+	readonly crashes: CrashDetector;
 	readonly clock: Clock;
 	readonly events: EventLog;
 };
 
-/** Takes requests to upstreams. */
+/** Forwards requests to upstreams. */
 export type RequestForwarder = ReturnType<typeof createRequestForwarder>;
 
-/** What one sending came to. */
+/** Outcome of sending a request to one upstream. */
 type SendOutcome =
-	/** `reached` says which upstream got it: none, one that has the address of the chosen one, or the chosen one. */
+	/** `reached` tells which upstream received the request: none, another one at the same address, or the chosen one. */
 	| {readonly kind: 'not-run'; readonly detail: string; readonly reached: 'none' | 'other' | 'chosen'}
 	| RelayOutcome;
 
-type Progress = {-readonly [Field in 'sends' | 'mayHaveRun' | 'upstream' | 'firstMs' | 'waitingTokens' | 'cachedTokens' | 'isOnGrace' | 'viewMs']: ForwardReport[Field]};
+/** Fields of the report that are filled in while the request is being forwarded. */
+type ForwardProgress = {-readonly [Field in 'sends' | 'mayHaveRun' | 'upstream' | 'firstMs' | 'waitingTokens' | 'cachedTokens' | 'isOnGrace' | 'viewMs']: ForwardReport[Field]};
 
-/** One request on its way. */
-type Forwarding = {readonly request: ForwardRequest; readonly relay: AnswerRelay; readonly progress: Progress};
+/** State of a request while it is being forwarded. */
+type ForwardingState = {readonly request: ForwardRequest; readonly relay: AnswerRelay; readonly progress: ForwardProgress};
 
-/** What a sending brings to the receipt of its answer. */
-type ReceiveOptions = {readonly visit: UpstreamVisit; readonly onProgress: () => void};
+/** Options for receiving an upstream's answer. */
+type ReceiveOptions = {readonly tracker: UpstreamRequestTracker; readonly onProgress: () => void};
 
-/** Less time than this, in milliseconds, is not worth a sending: a round trip alone takes some of it. */
-const leastTime = 15;
-/** When a caller may come back after every upstream was full or away, in milliseconds. */
-const fullRetryAfter = 500;
-/** A silent upstream is given up on after this many objectives of the route, when the request may go elsewhere. */
-const silenceObjectives = 3;
-/** Shortest silence, in milliseconds, that makes an upstream be given up on. */
-const leastSilence = 1200;
+/** A request is not sent with less time left than this, because the round trip alone takes part of it. */
+const minRemainingMs = 15;
+/** Retry-after time for callers when every upstream is overloaded or unavailable. */
+const overloadedRetryAfterMs = 500;
+/** Time without progress after which a request is retried at another upstream, as a multiple of the route's latency objective. */
+const stallTimeoutObjectives = 3;
+/** Lower limit of the stall timeout. */
+const minStallTimeoutMs = 1200;
 
 /**
- * Creates a forwarder.
+ * Creates a request forwarder.
  *
  * @example
  * ```ts
  * const report = await forwarder.forward(request);
  * ```
  *
- * @param options Upstreams, routing and retries
+ * @param options Upstreams, retry budgets, quarantine and crash detection
  * @returns The forwarder
  */
 export function createRequestForwarder(options: CreateRequestForwarderOptions) {
@@ -85,7 +86,7 @@
 	const servicePolicy: PlacementPolicy = new ServicePlacementPolicy();
 
 	function createRelay(request: ForwardRequest): AnswerRelay {
-		return request.route.kind === 'stream' ? new StreamAnswerRelay(request, wire) : new WholeAnswerRelay(request, wire);
+		return request.route.kind === 'stream' ? new StreamAnswerRelay(request, wire) : new BufferedAnswerRelay(request, wire);
 	}
 
 	function findPolicy({digest, generation}: ForwardRequest): PlacementPolicy {
@@ -103,28 +104,28 @@
 		return candidates.length === 0 ? undefined : policy.pick({id: request.id ?? '', generation}, candidates);
 	}
 
-	// An answer to another request shows that the connection carries extra answers; whatever follows on it is in doubt.
-	function isOther(request: ForwardRequest, facts: AnswerFacts): boolean {
+	// An answer to another request shows that the connection carries extra answers, so no later answer on it can be trusted.
+	function isForOtherRequest(request: ForwardRequest, facts: AnswerFacts): boolean {
 		return facts.requestId !== undefined && facts.requestId !== request.id;
 	}
 
-	async function receive({request, relay, progress}: Forwarding, answer: UpstreamAnswer, {visit, onProgress}: ReceiveOptions): Promise<SendOutcome> {
+	async function receive({request, relay, progress}: ForwardingState, answer: UpstreamAnswer, {tracker, onProgress}: ReceiveOptions): Promise<SendOutcome> {
 		const facts = wire.readAnswer(answer.status, answer.headers);
 		if (facts.load) {
-			visit.noteLoad(facts.load);
+			tracker.recordLoad(facts.load);
 		}
 
-		if (isOther(request, facts)) {
-			// It says nothing of this request, which was sent: "not run" would be a false promise, and its tokens uncounted.
+		if (isForOtherRequest(request, facts)) {
+			// This request was sent and may have run. Reporting "not run" could be false and would leave its tokens uncounted.
 			progress.mayHaveRun = true;
 			answer.abandon();
-			return {kind: 'broken', detail: 'The answer belongs to another request', isTorn: false};
+			return {kind: 'broken', detail: 'The answer belongs to another request', wasConnectionLost: false};
 		}
 
 		if (facts.isOtherUpstream) {
 			answer.abandon();
-			visit.noteMoved();
-			return {kind: 'not-run', detail: 'Another upstream has its address', reached: 'other'};
+			tracker.recordMoved();
+			return {kind: 'not-run', detail: 'Another upstream now listens at this address', reached: 'other'};
 		}
 
 		if (facts.hasNotRun) {
@@ -135,44 +136,44 @@
 		progress.mayHaveRun = true;
 		if (answer.status < 300 && (!facts.isMarked || answer.headers['content-encoding'] !== undefined)) {
 			answer.abandon();
-			return {kind: 'broken', detail: 'The answer does not bear the upstream\'s mark or is encoded', isTorn: false};
+			return {kind: 'broken', detail: 'The answer lacks the upstream signature or has a content encoding', wasConnectionLost: false};
 		}
 
 		return relay.relay(answer, {
 			onProgress,
-			onFirst() {
+			onFirstEvent() {
 				progress.firstMs ??= clock.now() - request.startedAt;
-				visit.noteFirst();
+				tracker.recordFirstEvent();
 			},
 		});
 	}
 
-	// Ends a sending whose upstream went silent, if the request may go elsewhere. Only progress moves the end.
-	function createSilenceBound(request: ForwardRequest, relay: AnswerRelay) {
-		const span = Math.max(leastSilence, request.route.objective * silenceObjectives);
+	// Aborts the call if the upstream makes no progress for the stall timeout and the request can be retried at another one.
+	function createStallTimeout(request: ForwardRequest, relay: AnswerRelay) {
+		const timeoutMs = Math.max(minStallTimeoutMs, request.route.objective * stallTimeoutObjectives);
 		const controller = new AbortController();
 		const abort = () => {
-			if (relay.canGoOn()) {
-				controller.abort(new Error(`The upstream was silent for ${span} ms`));
+			if (relay.canRetry()) {
+				controller.abort(new Error(`The upstream made no progress for ${timeoutMs} ms`));
 			}
 		};
 
-		let progressAt = clock.now();
-		// Set anew only when it fires: a stream makes progress dozens of times a second.
-		const look = () => {
-			const left = progressAt + span - clock.now();
-			if (left > 0) {
-				timer = setTimeout(look, left);
+		let lastProgressAt = clock.now();
+		// The timer is rescheduled only when it fires, because a stream makes progress dozens of times a second.
+		const checkProgress = () => {
+			const remainingMs = lastProgressAt + timeoutMs - clock.now();
+			if (remainingMs > 0) {
+				timer = setTimeout(checkProgress, remainingMs);
 			} else {
 				abort();
 			}
 		};
 
-		let timer = setTimeout(look, span);
+		let timer = setTimeout(checkProgress, timeoutMs);
 		return {
 			signal: controller.signal,
-			noteProgress() {
-				progressAt = clock.now();
+			recordProgress() {
+				lastProgressAt = clock.now();
 			},
 			clear() {
 				clearTimeout(timer);
@@ -180,111 +181,111 @@
 		};
 	}
 
-	async function sendTo(forwarding: Forwarding, id: string): Promise<SendOutcome> {
-		const {request, relay, progress} = forwarding;
+	async function sendTo(state: ForwardingState, id: string): Promise<SendOutcome> {
+		const {request, relay, progress} = state;
 		const upstream = book.get(id);
 		if (!upstream) {
-			return {kind: 'not-run', detail: 'The upstream has just left', reached: 'none'};
+			return {kind: 'not-run', detail: 'The upstream is no longer registered', reached: 'none'};
 		}
 
-		const visit = book.start(id, request);
-		const run = quarantine.begin(request.digest, request.id);
-		const silence = createSilenceBound(request, relay);
+		const tracker = book.trackRequest(id, request);
+		const trackedRun = quarantine.begin(request.digest, request.id);
+		const stallTimeout = createStallTimeout(request, relay);
 		const remaining = request.deadline - clock.now();
-		const bound = createBound(remaining, [request.signal, silence.signal]);
+		const timeLimit = createBound(remaining, [request.signal, stallTimeout.signal]);
 		try {
 			const called = await client.call({
 				address: upstream.address,
 				method: request.method,
 				path: request.path,
 				headers: wire.buildForwardHeaders(request.rawHeaders, {
-					requestId: request.id, upstream: id, customer: request.customer, remaining, lastEvent: relay.lastEvent, urgency: computeUrgency(request),
+					requestId: request.id, upstream: id, customer: request.customer, remaining, lastEvent: relay.lastEventId, urgency: computeUrgency(request),
 				}),
 				body: request.body,
-				signal: bound.signal,
-				isAlone: !relay.canGoOn(),
+				signal: timeLimit.signal,
+				isAlone: !relay.canRetry(),
 				isStillWanted: () => book.isLive(id),
 			});
-			const outcome = called.ok ? await receive(forwarding, called.val, {visit, onProgress: silence.noteProgress}) : readCallFailure(called.val, progress);
+			const outcome = called.ok ? await receive(state, called.val, {tracker, onProgress: stallTimeout.recordProgress}) : classifyCallFailure(called.val, progress);
 			if (outcome.kind === 'broken' && !request.signal.aborted) {
-				visit.noteSilent();
+				tracker.recordUnresponsive();
 			} else if (outcome.kind === 'not-run' && outcome.reached === 'none') {
-				visit.noteSilent();
+				tracker.recordUnresponsive();
 			} else if (outcome.kind === 'failed') {
-				visit.noteFailure();
+				tracker.recordFailure();
 			} else if (outcome.kind === 'complete') {
-				run.noteAnswered();
+				trackedRun.noteAnswered();
 			}
 
-			// The outcome is known to the quarantine before the request may go on elsewhere.
-			if (outcome.kind === 'broken' && outcome.isTorn && !bound.signal.aborted && await crashes.hasCrashed(upstream)) {
-				run.noteCrash(id);
+			// The quarantine must know of the crash before the request is sent to another upstream.
+			if (outcome.kind === 'broken' && outcome.wasConnectionLost && !timeLimit.signal.aborted && await crashes.hasCrashed(upstream)) {
+				trackedRun.noteCrash(id);
 			}
 
 			return outcome;
 		} finally {
-			silence.clear();
-			bound.clear();
-			visit.end();
+			stallTimeout.clear();
+			timeLimit.clear();
+			tracker.end();
 		}
 	}
 
-	function readCallFailure(failure: CallFailure, progress: Progress): SendOutcome {
+	function classifyCallFailure(failure: CallFailure, progress: ForwardProgress): SendOutcome {
 		if (failure.kind === 'unsent') {
 			return {kind: 'not-run', detail: failure.detail, reached: 'none'};
 		}
 
 		progress.mayHaveRun = true;
-		return {kind: 'broken', detail: failure.detail, isTorn: true};
+		return {kind: 'broken', detail: failure.detail, wasConnectionLost: true};
 	}
 
-	function describeEnd(request: ForwardRequest, progress: Progress, detail: string): Failure {
-		const isLate = request.deadline - clock.now() < leastTime;
+	function createFinalFailure(request: ForwardRequest, progress: ForwardProgress, detail: string): Failure {
+		const isOutOfTime = request.deadline - clock.now() < minRemainingMs;
 		if (progress.mayHaveRun) {
-			return isLate
+			return isOutOfTime
 				? createFailure('deadline-passed', `No upstream answered in time: ${detail}`, {ran: 'unknown'})
 				: createFailure('outcome-unknown', `The upstream did not answer: ${detail}`, {ran: 'unknown'});
 		}
 
-		return createFailure('overloaded', `No upstream took the request: ${detail}`, {retryAfterMs: fullRetryAfter});
+		return createFailure('overloaded', `No upstream accepted the request: ${detail}`, {retryAfterMs: overloadedRetryAfterMs});
 	}
 
-	function finish({relay, progress}: Forwarding, result: ForwardResult, reason?: string): ForwardReport {
+	function buildReport({relay, progress}: ForwardingState, result: ForwardResult, reason?: string): ForwardReport {
 		return {
-			result, reason, events: relay.events, ...progress,
+			result, reason, events: relay.eventCount, ...progress,
 		};
 	}
 
-	function giveUp(forwarding: Forwarding, detail: string): ForwardReport {
-		const {request, progress} = forwarding;
+	function finishUnanswered(state: ForwardingState, detail: string): ForwardReport {
+		const {request, progress} = state;
 		if (request.answer.hasStarted()) {
 			request.answer.cut();
-			return finish(forwarding, 'cut', detail);
+			return buildReport(state, 'cut', detail);
 		}
 
-		const failure = describeEnd(request, progress, detail);
+		const failure = createFinalFailure(request, progress, detail);
 		request.answer.refuse(failure);
-		return finish(forwarding, failure.ran === 'no' ? 'refused' : 'failed', detail);
+		return buildReport(state, failure.ran === 'no' ? 'refused' : 'failed', detail);
 	}
 
 	return {
-		/** Takes a request to its end; the caller has its final answer when this resolves. */
+		/** Forwards a request. When the promise resolves, the caller has received its final answer. */
 		async forward(request: ForwardRequest): Promise<ForwardReport> {
 			const relay = createRelay(request);
-			const retries = findRetries(request.service.id);
-			const progress: Progress = {
+			const retryBudget = findRetries(request.service.id);
+			const progress: ForwardProgress = {
 				sends: 0, mayHaveRun: false, upstream: undefined, firstMs: undefined, waitingTokens: undefined, cachedTokens: undefined, isOnGrace: undefined, viewMs: undefined,
 			};
-			const forwarding: Forwarding = {request, relay, progress};
+			const state: ForwardingState = {request, relay, progress};
 			const tried = new Set<string>();
-			let arrivals = 0;
-			let passOn: (() => void) | undefined;
-			let detail = 'no upstream of the service is known';
-			retries.earn();
+			let deliveries = 0;
+			let deliverFailure: (() => void) | undefined;
+			let detail = 'No live upstream is registered for the service';
+			retryBudget.earn();
 			for (;;) {
 				const candidate = pickUpstream(request, tried);
-				const isFirst = arrivals === 0;
-				if (candidate === undefined || request.deadline - clock.now() < leastTime || progress.sends >= request.route.attempts || !(isFirst || retries.take())) {
+				const isFirst = deliveries === 0;
+				if (candidate === undefined || request.deadline - clock.now() < minRemainingMs || progress.sends >= request.route.attempts || !(isFirst || retryBudget.take())) {
 					break;
 				}
 
@@ -294,24 +295,24 @@
 				progress.waitingTokens = candidate.waitingTokens;
 				progress.cachedTokens = candidate.cachedTokens;
 				progress.isOnGrace = candidate.isOnGrace;
-				progress.viewMs = book.countViewAge();
-				const outcome = await sendTo(forwarding, id);
-				// The upstream was not sent to if its connection was refused, or if another one has its address. The route bounds
-				// how many may run a request, the retry budget how often one arrives anywhere.
+				progress.viewMs = book.getViewAgeMs();
+				const outcome = await sendTo(state, id);
+				// The route limits how many upstreams may run a request, so a refused connection or another upstream at the address
+				// does not count as a send. The retry budget limits deliveries, which include those to another upstream at the address.
 				progress.sends += outcome.kind === 'not-run' && outcome.reached !== 'chosen' ? 0 : 1;
-				arrivals += outcome.kind === 'not-run' && outcome.reached === 'none' ? 0 : 1;
+				deliveries += outcome.kind === 'not-run' && outcome.reached === 'none' ? 0 : 1;
 				if (request.signal.aborted && outcome.kind !== 'complete') {
 					detail = String((request.signal.reason as Error).message);
 					break;
 				}
 
 				if (outcome.kind === 'complete') {
-					return finish(forwarding, 'served');
+					return buildReport(state, 'served');
 				}
 
 				if (outcome.kind === 'failed') {
-					passOn = outcome.passOn;
-					detail = 'the upstream failed';
+					deliverFailure = outcome.deliver;
+					detail = 'The upstream answered with a server error';
 				} else {
 					detail = outcome.detail;
 				}
@@ -319,17 +320,17 @@
 				events.write('requestRetried', {
 					request: request.id, upstream: id, outcome: outcome.kind, detail,
 				});
-				if (outcome.kind !== 'not-run' && !(relay.canGoOn() && quarantine.maySendOn(request.digest))) {
+				if (outcome.kind !== 'not-run' && !(relay.canRetry() && quarantine.maySendOn(request.digest))) {
 					break;
 				}
 			}
 
-			if (passOn && !request.answer.hasStarted()) {
-				passOn();
-				return finish(forwarding, 'passed-on', detail);
+			if (deliverFailure && !request.answer.hasStarted()) {
+				deliverFailure();
+				return buildReport(state, 'passed-on', detail);
 			}
 
-			return giveUp(forwarding, detail);
+			return finishUnanswered(state, detail);
 		},
 	};
 }
--- a/src/coordination/retry-budget.ts
+++ b/src/coordination/retry-budget.ts
@@ -1,23 +1,23 @@
 /**
- * A bound on retries as a share of requests, so that a dead upstream does not
- * turn into a storm of retries on the others.
+ * Limits retries to a share of the requests, so that a failed upstream does not
+ * cause a retry storm on the others.
  *
  * @module
  */
 
 /** Options of {@linkcode createRetryBudget}. */
 export type CreateRetryBudgetOptions = {
-	/** Retries earned by one request; 0.2 allows one retry for five requests. */
+	/** Retries granted per request; 0.2 allows one retry for five requests. */
 	readonly share: number;
-	/** Retries that may be saved up; default 10. */
+	/** Maximum number of accumulated retries; default 10. */
 	readonly burst?: number;
 };
 
-/** A retry budget. */
+/** Limits the number of retries. */
 export type RetryBudget = {
-	/** Notes one request. */
+	/** Credits the budget for one request. */
 	readonly earn: () => void;
-	/** Takes one retry; false when there is none. */
+	/** Takes one retry from the budget; returns false if none is left. */
 	readonly take: () => boolean;
 };
 
@@ -32,22 +32,22 @@
  * retries.take(); // true
  * ```
  *
- * @param options Share and burst
+ * @param options The share of retries and the maximum to accumulate
  * @returns The budget
  */
 export function createRetryBudget(options: CreateRetryBudgetOptions): RetryBudget {
 	const burst = options.burst ?? defaultBurst;
-	let saved = burst;
+	let balance = burst;
 	return {
 		earn() {
-			saved = Math.min(burst, saved + options.share);
+			balance = Math.min(burst, balance + options.share);
 		},
 		take() {
-			if (saved < 1) {
+			if (balance < 1) {
 				return false;
 			}
 
-			saved -= 1;
+			balance -= 1;
 			return true;
 		},
 	};
--- a/src/coordination/return-forecast.ts
+++ b/src/coordination/return-forecast.ts
@@ -1,5 +1,5 @@
 /**
- * When a caller whom a stopping gateway refuses can be served again.
+ * Estimates when a caller that a stopping gateway refuses can be served again.
  *
  * @module
  */
@@ -7,55 +7,55 @@
 import type {Clock} from '../transport/mod.js';
 
 /** Options of {@linkcode createReturnForecast}. */
-export type CreateReturnForecastOptions = {
+export type CreateRetryAfterEstimatorOptions = {
 	readonly clock: Clock;
-	/** Longest stop of a gateway, in milliseconds. */
+	/** Returns the longest time that a gateway takes to stop, in milliseconds. */
 	readonly findStopSpan: () => number;
 };
 
-/** Says when callers can come back. */
-export type ReturnForecast = ReturnType<typeof createReturnForecast>;
+/** Estimates the retry-after time for callers. */
+export type RetryAfterEstimator = ReturnType<typeof createReturnForecast>;
 
-/** While another gateway takes requests, in milliseconds: a new connection goes there. */
-const elsewhere = 100;
-/** From the end of a gateway's process until its next one serves, in milliseconds; 1.1 s was seen, most of it before the start. */
-const startSpan = 1200;
+/** Retry-after time while another gateway accepts requests, because a new connection goes there. */
+const otherGatewayRetryMs = 100;
+/** Time allowed from the end of a gateway's process until its successor serves requests. It takes about 1.1 s, most of it before the process starts. */
+const restartMs = 1200;
 
 /**
- * Creates a forecast that knows no other gateway.
+ * Creates an estimator that does not know of any other gateway yet.
  *
- * Callers come back once or twice, so one that is told to come back too early
- * is lost: while all gateways are replaced at once, the next to serve is the
- * one whose stop began first.
+ * Callers retry only once or twice, so a request whose caller retries too
+ * early fails for good. While all gateways are replaced at once, the first to
+ * serve again is the one that began to stop first.
  *
  * @example
  * ```ts
- * forecast.note(view);
- * forecast.estimate(views.list(), {ownLeft: 4800});
+ * estimator.note(view);
+ * estimator.estimate(views.list(), {ownLeft: 4800});
  * ```
  *
- * @param options The clock, and how long stops take
- * @returns The forecast
+ * @param options The clock and the longest time that a stop takes
+ * @returns The estimator
  */
-export function createReturnForecast({clock, findStopSpan}: CreateReturnForecastOptions) {
+export function createReturnForecast({clock, findStopSpan}: CreateRetryAfterEstimatorOptions) {
 	const stops = new Map<string, {readonly incarnation: string; readonly since: number}>();
 
-	// One that answers no more has ended, and its next process is on its way.
-	function estimatePeer(since: number, isAnswering: boolean): number {
-		return isAnswering ? Math.max(0, since + findStopSpan() - clock.now()) + startSpan : startSpan;
+	// A gateway that no longer answers has ended, and its successor is starting.
+	function estimatePeerMs(since: number, isAnswering: boolean): number {
+		return isAnswering ? Math.max(0, since + findStopSpan() - clock.now()) + restartMs : restartMs;
 	}
 
-	// A gateway that was taken away for good does not come back: nobody waits for it longer than for one that does.
-	function dropOld(): void {
+	// A gateway that was removed for good never restarts, so its stop expires after the time that a restart takes at most.
+	function dropExpiredStops(): void {
 		for (const [daemon, {since}] of stops) {
-			if (clock.now() - since > findStopSpan() + (2 * startSpan)) {
+			if (clock.now() - since > findStopSpan() + (2 * restartMs)) {
 				stops.delete(daemon);
 			}
 		}
 	}
 
 	return {
-		/** Takes what a gateway says of itself. */
+		/** Records the state that a gateway reports about itself. */
 		note({daemon, incarnation, isLeaving}: PeerView): void {
 			if (!isLeaving) {
 				stops.delete(daemon);
@@ -64,16 +64,16 @@
 			}
 		},
 
-		/** Milliseconds until a gateway takes requests, by the views of those that answer and what is left of the own stop. */
+		/** Returns the milliseconds until a gateway accepts requests, given the gateways that answer and the rest of this gateway's stop. */
 		estimate(views: readonly PeerView[], {ownLeft}: {readonly ownLeft: number}): number {
 			if (views.some(({isLeaving}) => !isLeaving)) {
-				return elsewhere;
+				return otherGatewayRetryMs;
 			}
 
-			dropOld();
+			dropExpiredStops();
 			const answering = new Set(views.map(({daemon}) => daemon));
-			const peers = [...stops].map(([daemon, {since}]) => estimatePeer(since, answering.has(daemon)));
-			return Math.min(ownLeft + startSpan, ...peers);
+			const peerEstimates = [...stops].map(([daemon, {since}]) => estimatePeerMs(since, answering.has(daemon)));
+			return Math.min(ownLeft + restartMs, ...peerEstimates);
 		},
 	};
 }
--- a/src/coordination/upstream-book.ts
+++ b/src/coordination/upstream-book.ts
@@ -1,6 +1,7 @@
 /**
- * What a gateway has seen of each upstream: its own requests there, the load
- * that answers tell, how long first events take, and calls that failed.
+ * Statistics that a gateway keeps on each upstream for placement: its requests
+ * in flight, the load reported in answers, the time to the first event, and
+ * failed calls.
  *
  * @module
  */
@@ -14,222 +15,222 @@
 import type {PlacementCandidate} from './placement-policy.js';
 
 /** Options of {@linkcode createUpstreamBook}. */
-export type CreateUpstreamBookOptions = {
+export type CreateUpstreamRegistryOptions = {
 	readonly directory: UpstreamDirectory;
 	readonly clock: Clock;
 	readonly failureDomain: string;
-	/** Age of what the directory knows, in milliseconds. */
+	/** Returns the age of the directory's data, in milliseconds. */
 	readonly countViewAge?: () => number | undefined;
-	/** What all other gateways have at an upstream. */
+	/** Returns the combined use of an upstream by all other gateways. */
 	readonly sumPeerUse: (upstream: string) => UpstreamUse;
-	/** Called when this gateway's use of an upstream has changed. */
+	/** Called when this gateway's use of an upstream changes. */
 	readonly onUse?: () => void;
 	/** Called when a prompt is sent to an upstream. */
 	readonly onPrompt?: (prompt: PlacedPrompt) => void;
 };
 
-/** Options of {@linkcode UpstreamBook.listCandidates}. */
+/** Options of {@linkcode UpstreamRegistry.listCandidates}. */
 export type ListCandidatesOptions = {
 	readonly service: GatewayService;
 	readonly generation: Generation | undefined;
-	/** Upstreams that were tried already. */
+	/** Ids of upstreams that were already tried. */
 	readonly without: ReadonlySet<string>;
 };
 
-/** A request's stay at an upstream. */
-export type UpstreamVisit = {
-	/** Notes the first event or the whole answer. */
-	readonly noteFirst: () => void;
-	readonly noteLoad: (load: ToldLoad) => void;
-	/** Notes that the upstream did not answer, so that others are tried first for a while. */
-	readonly noteSilent: () => void;
-	/** Notes that another upstream answers at its address. */
-	readonly noteMoved: () => void;
-	/** Notes that the upstream answered with a failure of its own. */
-	readonly noteFailure: () => void;
+/** Records the course of one request at an upstream. */
+export type UpstreamRequestTracker = {
+	/** Records that the first event or the whole answer has arrived. */
+	readonly recordFirstEvent: () => void;
+	readonly recordLoad: (load: ToldLoad) => void;
+	/** Records that the upstream did not respond, so that others are preferred for a while. */
+	readonly recordUnresponsive: () => void;
+	/** Records that another upstream answers at this upstream's address. */
+	readonly recordMoved: () => void;
+	/** Records that the upstream answered with a server error. */
+	readonly recordFailure: () => void;
 	readonly end: () => void;
 };
 
-/** What a gateway has seen of each upstream. */
-export type UpstreamBook = ReturnType<typeof createUpstreamBook>;
+/** Statistics of a gateway on each upstream. */
+export type UpstreamRegistry = ReturnType<typeof createUpstreamBook>;
 
-type Seen = {
+type UpstreamStats = {
 	inFlight: number;
-	/** Prompt tokens of own requests without a first event. */
+	/** Prompt tokens of this gateway's requests that have not had their first event. */
 	waitingTokens: number;
-	told: ToldLoad | undefined;
-	toldAt: number;
-	/** Milliseconds a token of work until the first event, a moving average. */
-	pace: number;
+	reportedLoad: ToldLoad | undefined;
+	reportedAt: number;
+	/** Moving average of the milliseconds per token of work until the first event. */
+	msPerToken: number;
 	failureShare: number;
-	silences: number;
+	unansweredInRow: number;
 	avoidUntil: number;
 };
 
-/** An upstream that did not answer is left out for this long, doubled with each time in a row, in milliseconds. */
-const avoidStep = 500;
-/** Longest time that a silent upstream is left out, in milliseconds; its entry lapses after three heartbeats. */
-const avoidLimit = 4000;
-/** Told load counts for this long, in milliseconds. */
-const toldLife = 1000;
-/** Weight of the newest sample in moving averages. */
-const newestWeight = 0.15;
-/** Work that any request is, in tokens of a prompt: an answer without a prompt takes time too. */
-const baseTokens = 800;
-/** An upstream still warming up counts as this much slower. */
+/** Time for which an upstream is avoided after it did not respond; doubles with each consecutive time. */
+const baseAvoidMs = 500;
+/** Upper limit of the time for which an upstream is avoided; its registration expires after three missed heartbeats. */
+const maxAvoidMs = 4000;
+/** Time for which a reported load is used. */
+const reportedLoadTtlMs = 1000;
+/** Weight of the newest sample in exponential moving averages. */
+const smoothingFactor = 0.15;
+/** Fixed work of each request in prompt tokens, because a request without a prompt takes time too. */
+const baseRequestTokens = 800;
+/** Factor by which the slowness of an upstream that is warming up is multiplied. */
 const warmUpSlowness = 2;
-/** Bounds on how much slower or faster than the others an upstream is taken to be. */
-const slownessRange = {least: 0.6, most: 8} as const;
+/** Limits of the estimated slowness relative to the other upstreams. */
+const slownessRange = {min: 0.6, max: 8} as const;
 
 /** @internal */
-function average(known: number, sample: number): number {
-	return known === 0 ? sample : (known * (1 - newestWeight)) + (sample * newestWeight);
+function updateAverage(current: number, sample: number): number {
+	return current === 0 ? sample : (current * (1 - smoothingFactor)) + (sample * smoothingFactor);
 }
 
 /**
- * Creates an empty book.
+ * Creates an empty registry.
  *
  * @example
  * ```ts
- * const visit = book.start('i-7', {service, generation});
- * visit.noteSilent();
- * visit.end();
+ * const tracker = registry.trackRequest('i-7', {service, generation});
+ * tracker.recordUnresponsive();
+ * tracker.end();
  * ```
  *
- * @param options The directory of upstreams, the clock and the peers
- * @returns The book
+ * @param options The directory of upstreams, the clock and the use by other gateways
+ * @returns The registry
  */
-export function createUpstreamBook(options: CreateUpstreamBookOptions) {
+export function createUpstreamBook(options: CreateUpstreamRegistryOptions) {
 	const {directory, clock, failureDomain} = options;
-	const seen = new Map<string, Seen>();
-	const cache = createPromptCache();
+	const statsById = new Map<string, UpstreamStats>();
+	const promptCache = createPromptCache();
 
-	function ensureSeen(id: string): Seen {
-		const known = seen.get(id) ?? {
-			inFlight: 0, waitingTokens: 0, told: undefined, toldAt: Number.NEGATIVE_INFINITY, pace: 0, failureShare: 0, silences: 0, avoidUntil: Number.NEGATIVE_INFINITY,
+	function ensureStats(id: string): UpstreamStats {
+		const stats = statsById.get(id) ?? {
+			inFlight: 0, waitingTokens: 0, reportedLoad: undefined, reportedAt: Number.NEGATIVE_INFINITY, msPerToken: 0, failureShare: 0, unansweredInRow: 0, avoidUntil: Number.NEGATIVE_INFINITY,
 		};
-		seen.set(id, known);
-		return known;
+		statsById.set(id, stats);
+		return stats;
 	}
 
-	function findMedianPace(ids: readonly string[]): number {
-		const paces = ids.map(id => ensureSeen(id).pace).filter(pace => pace > 0).sort((left, right) => left - right);
-		return paces[Math.floor(paces.length / 2)] ?? 0;
+	function findMedianMsPerToken(ids: readonly string[]): number {
+		const values = ids.map(id => ensureStats(id).msPerToken).filter(value => value > 0).sort((left, right) => left - right);
+		return values[Math.floor(values.length / 2)] ?? 0;
 	}
 
-	function estimateSlowness(item: Seen, median: number, isWarm: boolean): number {
-		const measured = item.pace > 0 && median > 0 ? item.pace / median : 1;
-		return Math.min(slownessRange.most, Math.max(slownessRange.least, measured)) * (isWarm ? 1 : warmUpSlowness);
+	function estimateSlowness(stats: UpstreamStats, median: number, isWarm: boolean): number {
+		const relative = stats.msPerToken > 0 && median > 0 ? stats.msPerToken / median : 1;
+		return Math.min(slownessRange.max, Math.max(slownessRange.min, relative)) * (isWarm ? 1 : warmUpSlowness);
 	}
 
 	function buildCandidate({upstream, isWarm, isOnGrace}: LiveUpstream, generation: Generation | undefined, median: number): PlacementCandidate {
-		const item = ensureSeen(upstream.id);
-		const peers = options.sumPeerUse(upstream.id);
-		const told = item.told && clock.now() - item.toldAt < toldLife ? item.told.running + item.told.waiting : 0;
+		const stats = ensureStats(upstream.id);
+		const peerUse = options.sumPeerUse(upstream.id);
+		const reportedRequests = stats.reportedLoad && clock.now() - stats.reportedAt < reportedLoadTtlMs ? stats.reportedLoad.running + stats.reportedLoad.waiting : 0;
 		return {
 			id: upstream.id,
 			slots: upstream.slots,
-			inFlight: Math.max(item.inFlight + peers.inFlight, told),
-			waitingTokens: item.waitingTokens + peers.waitingTokens,
-			cachedTokens: generation ? cache.countCached(upstream.id, generation.parts) : 0,
-			slowness: estimateSlowness(item, median, isWarm),
-			failureShare: item.failureShare,
+			inFlight: Math.max(stats.inFlight + peerUse.inFlight, reportedRequests),
+			waitingTokens: stats.waitingTokens + peerUse.waitingTokens,
+			cachedTokens: generation ? promptCache.countCached(upstream.id, generation.parts) : 0,
+			slowness: estimateSlowness(stats, median, isWarm),
+			failureShare: stats.failureShare,
 			isSameDomain: upstream.failureDomain === failureDomain,
 			isOnGrace,
 		};
 	}
 
 	return {
-		/** The upstreams of a service that may take a request, without those that were silent of late if others are left. */
+		/** Lists the live upstreams of a service, without those that recently did not respond unless no others remain. */
 		listCandidates({service, generation, without}: ListCandidatesOptions): PlacementCandidate[] {
 			const now = clock.now();
 			const live = directory.listLive(service.id, now).filter(({upstream}) => !without.has(upstream.id));
-			const sound = live.filter(({upstream}) => ensureSeen(upstream.id).avoidUntil <= now);
-			const chosen = sound.length > 0 ? sound : live;
-			const median = findMedianPace(chosen.map(({upstream}) => upstream.id));
-			return chosen.map(item => buildCandidate(item, generation, median));
+			const responsive = live.filter(({upstream}) => ensureStats(upstream.id).avoidUntil <= now);
+			const selected = responsive.length > 0 ? responsive : live;
+			const median = findMedianMsPerToken(selected.map(({upstream}) => upstream.id));
+			return selected.map(item => buildCandidate(item, generation, median));
 		},
 
 		get: (id: string): UpstreamEntry | undefined => directory.get(id),
-		/** True while an upstream may get requests. */
+		/** Returns true if requests may be sent to an upstream. */
 		isLive: (id: string): boolean => directory.isLive(id, clock.now()),
-		/** True for an upstream that is listed and takes requests: nobody expects its end. */
+		/** Returns true if an upstream is live and listed, not merely in its grace period, so that its process is not expected to end. */
 		isListed: (id: string): boolean => directory.isLive(id, clock.now()) && directory.countGrace(id, clock.now()) === 0,
-		countViewAge: (): number | undefined => options.countViewAge?.(),
+		getViewAgeMs: (): number | undefined => options.countViewAge?.(),
 
-		/** Starts a visit; its `end` must follow. */
-		start(id: string, {service, generation}: Pick<ListCandidatesOptions, 'service' | 'generation'>): UpstreamVisit {
-			const item = ensureSeen(id);
+		/** Starts tracking a request at an upstream. The caller must call `end` on the returned tracker. */
+		trackRequest(id: string, {service, generation}: Pick<ListCandidatesOptions, 'service' | 'generation'>): UpstreamRequestTracker {
+			const stats = ensureStats(id);
 			const startedAt = clock.now();
-			const uncached = generation ? generation.promptTokens - cache.countCached(id, generation.parts) : 0;
-			const work = baseTokens + item.waitingTokens + uncached;
-			let waiting = uncached;
-			item.inFlight += 1;
-			item.waitingTokens += uncached;
+			const uncachedTokens = generation ? generation.promptTokens - promptCache.countCached(id, generation.parts) : 0;
+			const workTokens = baseRequestTokens + stats.waitingTokens + uncachedTokens;
+			let pendingTokens = uncachedTokens;
+			stats.inFlight += 1;
+			stats.waitingTokens += uncachedTokens;
 			if (generation) {
 				const memory = service.engine?.memory ?? Number.POSITIVE_INFINITY;
-				cache.note(id, generation.parts, memory);
+				promptCache.note(id, generation.parts, memory);
 				options.onPrompt?.({upstream: id, memory, parts: [...generation.parts]});
 				options.onUse?.();
 			}
 
-			const endWait = () => {
-				item.waitingTokens -= waiting;
-				if (waiting > 0) {
+			const releaseWaitingTokens = () => {
+				stats.waitingTokens -= pendingTokens;
+				if (pendingTokens > 0) {
 					options.onUse?.();
 				}
 
-				waiting = 0;
+				pendingTokens = 0;
 			};
 
 			return {
-				noteFirst() {
-					item.silences = 0;
-					item.failureShare = average(item.failureShare, 0);
-					item.pace = average(item.pace, (clock.now() - startedAt) / work);
-					endWait();
+				recordFirstEvent() {
+					stats.unansweredInRow = 0;
+					stats.failureShare = updateAverage(stats.failureShare, 0);
+					stats.msPerToken = updateAverage(stats.msPerToken, (clock.now() - startedAt) / workTokens);
+					releaseWaitingTokens();
 				},
-				noteLoad(load) {
-					item.told = load;
-					item.toldAt = clock.now();
+				recordLoad(load) {
+					stats.reportedLoad = load;
+					stats.reportedAt = clock.now();
 				},
-				noteSilent() {
-					item.silences += 1;
-					item.avoidUntil = clock.now() + Math.min(avoidLimit, avoidStep * (2 ** (item.silences - 1)));
+				recordUnresponsive() {
+					stats.unansweredInRow += 1;
+					stats.avoidUntil = clock.now() + Math.min(maxAvoidMs, baseAvoidMs * (2 ** (stats.unansweredInRow - 1)));
 				},
-				noteMoved() {
+				recordMoved() {
 					directory.markMoved(id);
 				},
-				noteFailure() {
-					item.failureShare += (1 - item.failureShare) * newestWeight;
+				recordFailure() {
+					stats.failureShare += (1 - stats.failureShare) * smoothingFactor;
 				},
 				end() {
-					endWait();
-					item.inFlight -= 1;
+					releaseWaitingTokens();
+					stats.inFlight -= 1;
 				},
 			};
 		},
 
-		/** Notes a prompt that another gateway has sent to an upstream. */
+		/** Records a prompt that another gateway has sent to an upstream. */
 		takePrompt({upstream, parts, memory}: PlacedPrompt): void {
-			ensureSeen(upstream);
-			cache.note(upstream, parts, memory);
+			ensureStats(upstream);
+			promptCache.note(upstream, parts, memory);
 		},
 
-		/** What upstreams are believed to keep, for a gateway that has just started. */
-		listCached: (): PlacedPrompt[] => cache.list(),
+		/** Lists the prompts that upstreams are assumed to have cached, for a gateway that has just started. */
+		listCached: (): PlacedPrompt[] => promptCache.list(),
 
-		/** This gateway's own requests at upstreams. */
-		listUses: (): UpstreamUse[] => [...seen].filter(([, item]) => item.inFlight > 0)
+		/** Lists this gateway's requests in flight at each upstream. */
+		listUses: (): UpstreamUse[] => [...statsById].filter(([, stats]) => stats.inFlight > 0)
 			.map(([upstream, {inFlight, waitingTokens}]) => ({upstream, inFlight, waitingTokens})),
 
-		/** Forgets upstreams that are gone and have no request left. */
+		/** Removes upstreams that are no longer registered and have no requests in flight. */
 		prune(): void {
 			directory.prune(clock.now());
-			for (const [id, item] of seen) {
-				if (item.inFlight === 0 && directory.get(id) === undefined) {
-					seen.delete(id);
-					cache.drop(id);
+			for (const [id, stats] of statsById) {
+				if (stats.inFlight === 0 && directory.get(id) === undefined) {
+					statsById.delete(id);
+					promptCache.drop(id);
 				}
 			}
 		},
--- a/src/coordination/urgency.ts
+++ b/src/coordination/urgency.ts
@@ -1,42 +1,41 @@
 /**
- * In which order an engine should take up requests that wait.
+ * The order in which an engine should process queued requests.
  *
  * @module
  */
 import type {Generation} from '../protocol/mod.js';
 
-/** Ranks that an engine knows: 0 is first, 9 last. */
-const lastUrgency = 9;
-/** Ranks within one priority. */
-const ranksPerPriority = 3;
-/** Prompts below these sizes, in tokens, go first and second: the sizes between a question, a letter and a whole case. */
-const sizeBounds = [3000, 12_000] as const;
+/** Engines process urgency 0 first and this one last. */
+const lowestUrgency = 9;
+const levelsPerPriority = 3;
+/** Prompt sizes, in tokens, below which a request ranks first and second; they separate queries, letters and whole cases. */
+const promptSizeBounds = [3000, 12_000] as const;
 
-/** What decides a request's urgency. */
-export type UrgencyFacts = {
+/** Options of {@linkcode computeUrgency}. */
+export type ComputeUrgencyOptions = {
 	/** 0 is the most urgent. */
 	readonly priority: number;
 	readonly generation: Generation | undefined;
 };
 
 /**
- * Computes a request's urgency: by priority, and within it short prompts
- * first. A short prompt that waits behind a long one misses its objective,
- * and a long one that waits for a short one hardly notices.
+ * Computes the urgency of a request: by priority, and within a priority short
+ * prompts first. A short prompt that waits behind a long one misses its
+ * objective, whereas a short one delays a long one only slightly.
  *
- * On a calm day of 689 streams the share on time was 0.89 without an urgency
- * and 0.91 with this one, one run each.
+ * In one run each with 689 streams under calm load, the share of streams on
+ * time was 0.91 with this urgency and 0.89 without.
  *
  * @example
  * ```ts
  * computeUrgency({priority: 1, generation: undefined}); // 3
  * ```
  *
- * @param facts Priority and prompt
+ * @param options Priority and prompt
  * @returns The urgency
  */
-export function computeUrgency({priority, generation}: UrgencyFacts): number {
-	const size = generation?.promptTokens ?? 0;
-	const rank = sizeBounds.filter(bound => size >= bound).length;
-	return Math.min(lastUrgency, (priority * ranksPerPriority) + rank);
+export function computeUrgency({priority, generation}: ComputeUrgencyOptions): number {
+	const promptTokens = generation?.promptTokens ?? 0;
+	const level = promptSizeBounds.filter(bound => promptTokens >= bound).length;
+	return Math.min(lowestUrgency, (priority * levelsPerPriority) + level);
 }
