--- a/src/coordination/admission.test.ts
+++ b/src/coordination/admission.test.ts
@@ -1,9 +1,9 @@
 import {expect, test} from 'vitest';
 import {createVirtualTime} from '../../tools/measure/virtual-clock.js';
 import type {Clock} from '../transport/mod.js';
-import {createAdmission, runLoopWatch, type Admission} from './mod.js';
+import {createAdmission, monitorEventLoop, type Admission} from './mod.js';
 
-const usualRequest = {priority: 1, patience: 4000};
+const usualRequest = {priority: 1, timeoutMs: 4000};
 
 /** Creates an admission control on an event loop with an adjustable lag. */
 function createFixture() {
@@ -15,19 +15,19 @@
 	};
 	const stopper = new AbortController();
 	const admission = createAdmission({
-		findObjective: () => 400, random: () => 0.5,
+		findShortestObjective: () => 400, random: () => 0.5,
 		onChange({isBounded}) {
 			state.changes.push(isBounded);
 		},
 	});
-	void runLoopWatch({clock, onRound: admission.noteLag}, stopper.signal);
+	void monitorEventLoop({clock, onWindow: admission.recordLag}, stopper.signal);
 	return {
 		time, state, admission, stopper,
 	};
 }
 
 function admitMany(admission: Admission, count: number): Array<() => void> {
-	return Array.from({length: count}, () => admission.enter(usualRequest)).flatMap(entered => entered.ok ? [entered.val] : []);
+	return Array.from({length: count}, () => admission.admit(usualRequest)).flatMap(entered => entered.ok ? [entered.val] : []);
 }
 
 test('there is no limit without event loop lag', async () => {
@@ -35,7 +35,7 @@
 	const admitted = admitMany(admission, 500);
 	await time.runUntil(2000);
 	expect(admitted).toHaveLength(500);
-	expect(admission.enter(usualRequest).ok).toBe(true);
+	expect(admission.admit(usualRequest).ok).toBe(true);
 	stopper.abort();
 });
 
@@ -45,9 +45,9 @@
 	admitMany(admission, 40);
 	state.lag = 300;
 	await time.runUntil(5000);
-	expect(admission.countBound()).toBeLessThan(40);
-	expect(admission.countLag()).toBe(300);
-	const refused = admission.enter(usualRequest);
+	expect(admission.getLimit()).toBeLessThan(40);
+	expect(admission.getLagMs()).toBe(300);
+	const refused = admission.admit(usualRequest);
 	expect(refused.err && refused.val.type).toBe('overloaded');
 	expect(refused.err && refused.val.retryAfterMs).toBe(400);
 	stopper.abort();
@@ -64,7 +64,7 @@
 	}
 
 	await time.runUntil(20_000);
-	expect(admission.countBound()).toBe(Number.POSITIVE_INFINITY);
+	expect(admission.getLimit()).toBe(Number.POSITIVE_INFINITY);
 	expect(state.changes).toEqual([true, false]);
 	stopper.abort();
 });
@@ -86,7 +86,7 @@
 	admitMany(admission, 40);
 	state.lag = 300;
 	await time.runUntil(3500);
-	expect([0, 2].map(priority => admission.enter({priority, patience: 4000}).ok)).toEqual([admission.countBound() * 1.25 > 40, false]);
+	expect([0, 2].map(priority => admission.admit({priority, timeoutMs: 4000}).ok)).toEqual([admission.getLimit() * 1.25 > 40, false]);
 	stopper.abort();
 });
 
@@ -95,7 +95,7 @@
 	admitMany(admission, 40);
 	state.lag = 300;
 	await time.runUntil(5000);
-	const refused = admission.enter({priority: 1, patience: 600});
+	const refused = admission.admit({priority: 1, timeoutMs: 600});
 	expect(refused.err && refused.val.retryAfterMs).toBe(150);
 	stopper.abort();
 });
@@ -106,6 +106,6 @@
 	admitMany(admission, 40);
 	state.lag = 400;
 	await time.runUntil(2000);
-	expect(admission.countBound()).toBeLessThan(40);
+	expect(admission.getLimit()).toBeLessThan(40);
 	stopper.abort();
 });
--- a/src/coordination/admission.ts
+++ b/src/coordination/admission.ts
@@ -16,7 +16,7 @@
 /** Options of {@linkcode createAdmission}. */
 export type CreateAdmissionOptions = {
 	/** Returns the shortest latency objective of any route, in milliseconds. */
-	readonly findObjective: () => number;
+	readonly findShortestObjective: () => number;
 	/** Returns a random number between 0 and 1. */
 	readonly random: () => number;
 	/** Called when a limit comes into force or is removed. */
@@ -28,7 +28,7 @@
 	/** 0 is the most urgent. */
 	readonly priority: number;
 	/** Time for which the caller waits, in milliseconds. */
-	readonly patience: number;
+	readonly timeoutMs: number;
 };
 
 /** Limits the number of concurrent requests. */
@@ -63,7 +63,7 @@
  *
  * @example
  * ```ts
- * const entered = admission.enter({priority: 0, patience: 4000});
+ * const entered = admission.admit({priority: 0, timeoutMs: 4000});
  * if (entered.ok) {
  * 	entered.val(); // called when the request ends
  * }
@@ -87,7 +87,7 @@
 	}
 
 	function updateLimit(lagMs: number): void {
-		const overloadLagMs = Math.min(overloadLagRangeMs.max, Math.max(overloadLagRangeMs.min, options.findObjective() * overloadLagShare));
+		const overloadLagMs = Math.min(overloadLagRangeMs.max, Math.max(overloadLagRangeMs.min, options.findShortestObjective() * overloadLagShare));
 		overloadsInRow = lagMs > overloadLagMs ? overloadsInRow + 1 : 0;
 		if (overloadsInRow >= overloadWindows && running > minLimit) {
 			setLimit(Math.max(minLimit, Math.min(limit, running) * decreaseFactor), lagMs);
@@ -103,10 +103,10 @@
 
 	return {
 		/** Admits a request and returns a function to call when it ends, or refuses it with a retry-after time. */
-		enter({priority, patience}: AdmissionRequest): Result<() => void, Failure> {
+		admit({priority, timeoutMs}: AdmissionRequest): Result<() => void, Failure> {
 			const share = priorityShares[Math.min(priority, priorityShares.length - 1)]!;
 			if (running >= minLimit && running >= limit * share) {
-				return Err(createFailure('overloaded', `This gateway is overloaded with ${running} running requests`, {retryAfterMs: chooseRetryAfterMs(patience)}));
+				return Err(createFailure('overloaded', `This gateway is overloaded with ${running} running requests`, {retryAfterMs: chooseRetryAfterMs(timeoutMs)}));
 			}
 
 			running += 1;
@@ -116,12 +116,12 @@
 		},
 
 		/** Returns the maximum number of concurrent requests; infinite while there is no limit. */
-		countBound: () => limit,
+		getLimit: () => limit,
 		/** Returns the maximum event loop lag of the last window, in whole milliseconds. */
-		countLag: () => Math.round(lastLagMs),
+		getLagMs: () => Math.round(lastLagMs),
 
 		/** Records the maximum event loop lag of the last window, in milliseconds, and adjusts the limit. */
-		noteLag(lagMs: number): void {
+		recordLag(lagMs: number): void {
 			lastLagMs = lagMs;
 			updateLimit(lagMs);
 		},
--- a/src/coordination/answer-relay.ts
+++ b/src/coordination/answer-relay.ts
@@ -98,7 +98,7 @@
 /** Relays a stream event by event. An interrupted stream may be resumed at another upstream. */
 export class StreamAnswerRelay extends AnswerRelay {
 	#eventCount = 0;
-	#lastEventId = this.request.lastEvent;
+	#lastEventId = this.request.lastEventId;
 
 	get eventCount() {
 		return this.#eventCount;
--- a/src/coordination/attempt-runner.ts
+++ b/src/coordination/attempt-runner.ts
@@ -12,11 +12,11 @@
 } from '../protocol/mod.js';
 import type {AnswerEnd, Member, Reservation} from '../state/mod.js';
 import {createBound, type Clock, type FleetClient} from '../transport/mod.js';
-import {isWantedFrame, isWholeAnswer} from './frame-check.js';
-import type {GrantKeeper} from './grant-keeper.js';
+import {isExpectedFrame, isCompleteAnswer} from './frame-check.js';
+import type {GrantManager} from './grant-manager.js';
 import type {LogFollower} from './log-follower.js';
 import type {Membership} from './membership.js';
-import type {RouteRegistry} from './route-book.js';
+import type {RouteRegistry} from './route-registry.js';
 import type {Settler} from './settler.js';
 
 /** A validated request of a caller, ready to be sent. */
@@ -43,7 +43,7 @@
 	/** Aborted when the caller disconnects. */
 	readonly signal: AbortSignal;
 	/** Discards the chunks yielded so far; undefined if chunks are passed on to the caller as they arrive. */
-	readonly restart?: () => void;
+	readonly discardChunks?: () => void;
 };
 
 /** How one attempt ended. The outcome of a `lost` attempt's run is unknown until the settler has queried it. */
@@ -74,13 +74,13 @@
 	readonly follower: LogFollower;
 	readonly membership: Membership;
 	readonly fleet: FleetClient;
-	readonly keeper: GrantKeeper;
+	readonly grants: GrantManager;
 	readonly settler: Settler;
-	readonly book: RouteRegistry;
+	readonly routes: RouteRegistry;
 	readonly clock: Clock;
 	readonly events: EventLog;
 	/** Longest time without a new chunk during which a broken stream is resumed, in milliseconds. */
-	readonly resumeWithin: number;
+	readonly resumeTimeoutMs: number;
 };
 
 /** Runs attempts at upstream daemons. */
@@ -135,7 +135,7 @@
  */
 export function createAttemptRunner(options: CreateAttemptRunnerOptions) {
 	const {
-		follower, membership, fleet, keeper: grants, settler, book: routes, clock, events,
+		follower, membership, fleet, grants: grants, settler, routes: routes, clock, events,
 	} = options;
 
 	function isCurrent(member: Readonly<Member>): boolean {
@@ -158,13 +158,13 @@
 			payloadDigest: computeDigest(call.payload),
 			fromSequence: attempt.nextSequence,
 			from: membership.self.id,
-			knownOffset: follower.state().next(),
+			knownOffset: follower.state().getNextOffset(),
 			attachOnly: attempt.isAttachOnly,
 		}, {signal});
 	}
 
 	function checkFrame(attempt: Attempt, frame: RunFrame): boolean {
-		const isExpected = isWantedFrame(frame, {requestId: attempt.call.requestId, attempt: attempt.number, sequence: attempt.nextSequence});
+		const isExpected = isExpectedFrame(frame, {requestId: attempt.call.requestId, attempt: attempt.number, sequence: attempt.nextSequence});
 		if (!isExpected) {
 			events.write('frameDropped', {request: attempt.call.requestId, sequence: frame.sequence, expected: attempt.nextSequence});
 		}
@@ -175,7 +175,7 @@
 	function handleDone(attempt: Attempt, done: Done): AttemptOutcome {
 		const digest = attempt.hash.copy().digest('hex');
 		grants.settle(attempt.reservation, listBilledShares(done, attempt));
-		if (!isWholeAnswer(done, {chunks: attempt.nextSequence, length: attempt.byteLength, digest})) {
+		if (!isCompleteAnswer(done, {chunks: attempt.nextSequence, length: attempt.byteLength, digest})) {
 			return {kind: 'refused', failure: createFailure('answer-cut', `The answer is incomplete or corrupted: got ${attempt.nextSequence} of ${done.chunks} chunks`, {ran: 'yes', retryAfterMs})};
 		}
 
@@ -287,7 +287,7 @@
 			}
 
 			brokenAt = attempt.nextSequence > previousSequence ? clock.now() : brokenAt ?? clock.now();
-			const isTimedOut = clock.now() >= call.deadline || clock.now() - brokenAt > options.resumeWithin;
+			const isTimedOut = clock.now() >= call.deadline || clock.now() - brokenAt > options.resumeTimeoutMs;
 			// A request with an idempotency key may still be running there, and moving it would start a second run. It is
 			// therefore resumed until the timeout.
 			const mayMove = call.mayRepeat && !call.isKeyed && attempt.nextSequence === 0 && !membership.isAlive(member.daemon);
@@ -301,7 +301,7 @@
 	}
 
 	async function startAttempt(call: RoutedCall, member: Readonly<Member>, tokenTimeoutMs = call.patience): Promise<Result<Attempt, Failure>> {
-		const reserved = await grants.acquire(call.budget, call.worstCase, {patience: Math.min(tokenTimeoutMs, call.deadline - clock.now()), signal: call.signal});
+		const reserved = await grants.acquire(call.budget, call.worstCase, {timeoutMs: Math.min(tokenTimeoutMs, call.deadline - clock.now()), signal: call.signal});
 		if (reserved.err) {
 			return reserved;
 		}
@@ -319,7 +319,7 @@
 		const {budget} = call;
 		return createAttempt(call, member, {
 			isAttachOnly: true, reservation: {
-				budget, amount: 0, shares: [], settled: false,
+				budget, amount: 0, shares: [], isSettled: false,
 			},
 		});
 	}
--- a/src/coordination/budget-manager.test.ts
+++ b/src/coordination/budget-manager.test.ts
@@ -3,10 +3,10 @@
 import {createFakeKeyedLog, type AppendFate, type FakeKeyedLog} from '../../tools/harness/fake-keyed-log.js';
 import type {Deployment, EventLog} from '../protocol/mod.js';
 import {
-	createGrantBook, createRouteTable, createTokenAccount, holderRecordSchema, type PeerView, type RouteTable, type TokenReservation,
+	createGrantRegistry, createRouteTable, createTokenAccount, holderRecordSchema, type PeerView, type RouteTable, type TokenReservation,
 } from '../state/mod.js';
 import {
-	createBudgetKeeper, createKeyedFollower, createTokenLending, type LendAsk,
+	createBudgetManager, createKeyedFollower, createTokenLending, type TokenLoanRequest,
 } from './mod.js';
 
 // Simulates gateways with real budget managers over one log in memory. Appends
@@ -53,35 +53,35 @@
 		const daemon = `e${index}`;
 		const stopper = new AbortController();
 		const account = createTokenAccount();
-		const book = createGrantBook();
+		const book = createGrantRegistry();
 		const self = {
 			role: 'gateway' as const, daemon, incarnation: `i${serial}`, address: daemon, failureDomain: 'd',
 		};
 		const follower = createKeyedFollower({
-			log: fake.open(), clock, events, wait: 0, every: 1,
+			log: fake.open(), clock, events, longPollMs: 0, readIntervalMs: 1,
 			onRecord({key, value}) {
 				const record = holderRecordSchema.parse(JSON.parse(value ?? 'null'));
 				book.put(key, record);
 				if (key === `${daemon}/${self.incarnation}`) {
-					manager.takeOwnRecord(record);
+					manager.applyOwnRecord(record);
 				}
 			},
 		});
 		const lending = createTokenLending({
 			daemon, account, events,
 			listViews: () => gateways.filter(other => other.daemon !== daemon).map((other): PeerView => ({
-				daemon: other.daemon, incarnation: 'i', address: other.daemon, free: [{customer, tokens: Math.max(0, other.account.countFree(customer))}], uses: [], version: 1, isLeaving: false, crashes: [],
+				daemon: other.daemon, incarnation: 'i', address: other.daemon, free: [{customer, tokens: Math.max(0, other.account.countFreeTokens(customer))}], uses: [], version: 1, isLeaving: false, crashes: [],
 			})),
-			listSilent: () => [],
+			listUnresponsive: () => [],
 			countWanted: id => manager.countWanted(id),
 			clock,
-			listHomes: () => mode === 'each' ? [] : ['e0', 'e1', 'e2'],
-			isHome: () => mode === 'each' || index === 0,
-			claim: async (id, amount) => manager.claimFor(id, amount),
+			listOwners: () => mode === 'each' ? [] : ['e0', 'e1', 'e2'],
+			isOwner: () => mode === 'each' || index === 0,
+			claim: async (id, amount) => manager.claimForPeer(id, amount),
 			onLent(id, amount) {
-				manager.noteLent(id, amount);
+				manager.recordLent(id, amount);
 			},
-			async ask(address: string, request: LendAsk) {
+			async requestLoan(address: string, request: TokenLoanRequest) {
 				if (unresponsive.has(address)) {
 					throw new Error('The gateway does not answer');
 				}
@@ -89,8 +89,8 @@
 				return gateways.find(other => other.daemon === address)!.lending.lend(request);
 			},
 		});
-		const manager = createBudgetKeeper({
-			self, log: fake.open(), follower, book, account, findTable: () => table, borrow: lending.borrow, homes: {isHome: () => mode === 'each' || index === 0, isSmallFleet: () => mode === 'each', countClaimers: () => mode === 'each' ? 3 : 1}, clock, events, signal: stopper.signal,
+		const manager = createBudgetManager({
+			self, log: fake.open(), follower, grants: book, account, findRouteTable: () => table, borrow: lending.borrow, owners: {isOwner: () => mode === 'each' || index === 0, isSmallFleet: () => mode === 'each', countClaimers: () => mode === 'each' ? 3 : 1}, clock, events, signal: stopper.signal,
 		});
 		return {
 			daemon, manager, account, lending, stopper, reservations: [] as TokenReservation[],
@@ -126,7 +126,7 @@
 			gateways[index] = start(index);
 		},
 		sumUsed: () => gateways.reduce((sum, gateway) => sum + countUsed(gateway), usedByStopped),
-		sumFree: () => gateways.reduce((sum, gateway) => sum + gateway.account.countFree(customer), 0),
+		sumFree: () => gateways.reduce((sum, gateway) => sum + gateway.account.countFreeTokens(customer), 0),
 	};
 }
 
@@ -152,7 +152,7 @@
 			switch (step.kind) {
 				case 'ask': {
 					const gateway = simulation.gateways[step.index]!;
-					const reservation = await gateway.manager.acquire(customer, step.amount, {patience: 300});
+					const reservation = await gateway.manager.acquire(customer, step.amount, {timeoutMs: 300});
 					if (reservation.ok) {
 						gateway.reservations.push(reservation.val);
 					}
@@ -164,7 +164,7 @@
 					// Acquires concurrently, so that claims collide; an amount of 0 acquires nothing and only renews the grant.
 					await Promise.all(simulation.gateways.map(async (gateway, index) => {
 						const amount = step.amounts[index]!;
-						const reservation = amount > 0 ? await gateway.manager.acquire(customer, amount, {patience: 300}) : undefined;
+						const reservation = amount > 0 ? await gateway.manager.acquire(customer, amount, {timeoutMs: 300}) : undefined;
 						await gateway.manager.renew();
 						if (reservation?.ok) {
 							gateway.reservations.push(reservation.val);
@@ -225,7 +225,7 @@
 	// claim took effect but its answer was lost.
 	const simulation = await createSimulation(1000);
 	simulation.log.fates.push('lost-after');
-	const reservation = await simulation.gateways[0]!.manager.acquire(customer, 300, {patience: 300});
+	const reservation = await simulation.gateways[0]!.manager.acquire(customer, 300, {timeoutMs: 300});
 	expect(reservation.ok).toBe(true);
 	expect(simulation.log.records.length).toBe(simulation.firstRecord + 1);
 });
@@ -234,12 +234,12 @@
 	// Guards against refusals at a gateway that is cut off from the store while
 	// another gateway has enough free tokens.
 	const simulation = await createSimulation(10_000);
-	const held = await simulation.gateways[1]!.manager.acquire(customer, 1000, {patience: 300});
+	const held = await simulation.gateways[1]!.manager.acquire(customer, 1000, {timeoutMs: 300});
 	simulation.gateways[1]!.manager.settle(held.unwrap(), 10);
-	await simulation.gateways[0]!.manager.acquire(customer, 100, {patience: 300});
-	const free = simulation.gateways[0]!.account.countFree(customer);
+	await simulation.gateways[0]!.manager.acquire(customer, 100, {timeoutMs: 300});
+	const free = simulation.gateways[0]!.account.countFreeTokens(customer);
 	simulation.log.isAway = true;
-	const reservation = await simulation.gateways[0]!.manager.acquire(customer, free + 500, {patience: 300});
+	const reservation = await simulation.gateways[0]!.manager.acquire(customer, free + 500, {timeoutMs: 300});
 	expect(reservation.ok).toBe(true);
 });
 
@@ -248,7 +248,7 @@
 	// after all gateways have lost power, when these claims collide.
 	const simulation = await createSimulation(1_000_000);
 	for (let index = 0; index < 20; index += 1) {
-		const reservation = await simulation.gateways[0]!.manager.acquire(customer, 500, {patience: 300});
+		const reservation = await simulation.gateways[0]!.manager.acquire(customer, 500, {timeoutMs: 300});
 		simulation.gateways[0]!.manager.settle(reservation.unwrap(), 500);
 	}
 
@@ -256,7 +256,7 @@
 	simulation.restart(0);
 	await simulation.gateways[0]!.manager.renew();
 	const records = simulation.log.records.length;
-	const reservation = await simulation.gateways[0]!.manager.acquire(customer, 500, {patience: 300});
+	const reservation = await simulation.gateways[0]!.manager.acquire(customer, 500, {timeoutMs: 300});
 	expect(reservation.ok).toBe(true);
 	expect(simulation.log.records.length).toBe(records);
 });
@@ -265,8 +265,8 @@
 	// Guards against gateways that keep spending grants of a budget that the
 	// operator has lowered below their sum.
 	const simulation = await createSimulation(10_000);
-	await simulation.gateways[0]!.manager.acquire(customer, 1000, {patience: 300});
-	await simulation.gateways[1]!.manager.acquire(customer, 1000, {patience: 300});
+	await simulation.gateways[0]!.manager.acquire(customer, 1000, {timeoutMs: 300});
+	await simulation.gateways[1]!.manager.acquire(customer, 1000, {timeoutMs: 300});
 	simulation.setBought(2, 2100);
 	await simulation.gateways[0]!.manager.renew();
 	await simulation.gateways[1]!.manager.renew();
@@ -278,10 +278,10 @@
 	// that releases them is being appended, and another gateway claims them.
 	const simulation = await createSimulation(10_000);
 	const {account, manager} = simulation.gateways[0]!;
-	await manager.acquire(customer, 1000, {patience: 300});
+	await manager.acquire(customer, 1000, {timeoutMs: 300});
 	simulation.setBought(2, 1000);
 	simulation.log.onAppend = () => {
-		account.reserve(customer, account.countFree(customer));
+		account.reserve(customer, account.countFreeTokens(customer));
 	};
 
 	await manager.renew();
@@ -290,17 +290,17 @@
 
 test('a request that exceeds the remaining budget is refused as exhausted, not as busy', async () => {
 	const simulation = await createSimulation(1000);
-	await simulation.gateways[0]!.manager.acquire(customer, 900, {patience: 300});
-	const refused = await simulation.gateways[1]!.manager.acquire(customer, 500, {patience: 300});
+	await simulation.gateways[0]!.manager.acquire(customer, 900, {timeoutMs: 300});
+	const refused = await simulation.gateways[1]!.manager.acquire(customer, 500, {timeoutMs: 300});
 	expect(refused.err && refused.val.type).toBe('budget-exhausted');
 });
 
 test('a stopping gateway releases all unused tokens', async () => {
 	const simulation = await createSimulation(1000);
-	const reservation = await simulation.gateways[0]!.manager.acquire(customer, 300, {patience: 300});
+	const reservation = await simulation.gateways[0]!.manager.acquire(customer, 300, {timeoutMs: 300});
 	simulation.gateways[0]!.manager.settle(reservation.unwrap(), 120);
-	await simulation.gateways[0]!.manager.end();
-	const all = await simulation.gateways[1]!.manager.acquire(customer, 880, {patience: 300});
+	await simulation.gateways[0]!.manager.releaseUnused();
+	const all = await simulation.gateways[1]!.manager.acquire(customer, 880, {timeoutMs: 300});
 	expect(all.ok).toBe(true);
 });
 
@@ -309,18 +309,18 @@
 	let now = 0;
 	const never = new Promise<never>(() => undefined); // eslint-disable-line no-promise-executor-return
 	const account = createTokenAccount();
-	const manager = createBudgetKeeper({
+	const manager = createBudgetManager({
 		self: {
 			role: 'gateway', daemon: 'e1', incarnation: 'i1', address: 'e1', failureDomain: 'd',
 		},
 		log: createFakeKeyedLog().open(),
 		follower: {
-			next: () => 0, isUp: () => true, countSinceAnswer: () => sinceAnswer, catchUp: async () => never, takeOwn: () => undefined, run: async () => never,
+			getNextOffset: () => 0, isUp: () => true, computeStalenessMs: () => sinceAnswer, catchUp: async () => never, applyOwnRecord: () => undefined, run: async () => never,
 		},
-		book: createGrantBook(),
+		grants: createGrantRegistry(),
 		account,
-		findTable: () => buildTable(1, 1000),
-		homes: {isHome: () => true, isSmallFleet: () => true, countClaimers: () => 4},
+		findRouteTable: () => buildTable(1, 1000),
+		owners: {isOwner: () => true, isSmallFleet: () => true, countClaimers: () => 4},
 		async borrow(id, {needed}) {
 			if (tokensElsewhere) {
 				account.addBorrowed(id, needed);
@@ -353,7 +353,7 @@
 	const {manager, now, pass} = createHangingManager({sinceAnswer: 0, tokensElsewhere: true});
 	void manager.renew();
 	pass(100);
-	const reservation = await manager.acquire(customer, 400, {patience: 2000});
+	const reservation = await manager.acquire(customer, 400, {timeoutMs: 2000});
 	expect(reservation.ok).toBe(true);
 	// The request did not wait for a claim.
 	expect(now()).toBe(100);
@@ -364,7 +364,7 @@
 	// unresponsive log: tokens that other gateways have released since are
 	// unknown, and the pending read fails only seconds later.
 	const {manager} = createHangingManager({sinceAnswer, tokensElsewhere: false});
-	const reservation = await manager.acquire(customer, 1001, {patience: 200});
+	const reservation = await manager.acquire(customer, 1001, {timeoutMs: 200});
 	expect(reservation.err && reservation.val.type).toBe(type);
 });
 
@@ -374,11 +374,11 @@
 	const simulation = await createSimulation(1_000_000);
 	const [gateway] = simulation.gateways;
 	for (let index = 0; index < 8; index += 1) {
-		await gateway!.manager.acquire(customer, 1000, {patience: 300});
+		await gateway!.manager.acquire(customer, 1000, {timeoutMs: 300});
 	}
 
 	await gateway!.manager.renew();
-	expect(gateway!.account.countFree(customer)).toBeGreaterThan(1000);
+	expect(gateway!.account.countFreeTokens(customer)).toBeGreaterThan(1000);
 });
 
 // Guards against colliding claims for each request of a large fleet.
@@ -387,7 +387,7 @@
 	const writers = new Set<string>();
 	for (let round = 0; round < 20; round += 1) {
 		for (const gateway of simulation.gateways.slice(1)) {
-			const reservation = await gateway.manager.acquire(customer, 1000, {patience: 300});
+			const reservation = await gateway.manager.acquire(customer, 1000, {timeoutMs: 300});
 			expect(reservation.ok).toBe(true);
 		}
 	}
@@ -404,7 +404,7 @@
 test('if the owner does not respond, a gateway gets tokens from the next one in the order', async () => {
 	const simulation = await createSimulation(100_000, 'first');
 	simulation.unresponsive.add('e0');
-	const reservation = await simulation.gateways[2]!.manager.acquire(customer, 1000, {patience: 300});
+	const reservation = await simulation.gateways[2]!.manager.acquire(customer, 1000, {timeoutMs: 300});
 	expect(reservation.ok).toBe(true);
 	expect(simulation.gateways[1]!.account.get(customer).lent).toBeGreaterThanOrEqual(1000);
 });
@@ -413,7 +413,7 @@
 	const simulation = await createSimulation(100_000, 'first');
 	simulation.unresponsive.add('e0');
 	simulation.unresponsive.add('e1');
-	const reservation = await simulation.gateways[2]!.manager.acquire(customer, 1000, {patience: 300});
+	const reservation = await simulation.gateways[2]!.manager.acquire(customer, 1000, {timeoutMs: 300});
 	expect(reservation.ok).toBe(true);
 	expect(simulation.gateways[2]!.account.get(customer).granted).toBeGreaterThanOrEqual(1000);
 });
@@ -421,9 +421,9 @@
 // Guards against refusals near the end of a budget because its remaining tokens are spread over the gateways.
 test('free tokens of other gateways are used at the end of a budget', async () => {
 	const simulation = await createSimulation(3000, 'first');
-	const held = await simulation.gateways[1]!.manager.acquire(customer, 2000, {patience: 300});
+	const held = await simulation.gateways[1]!.manager.acquire(customer, 2000, {timeoutMs: 300});
 	simulation.gateways[1]!.manager.settle(held.unwrap(), 100);
-	const reservation = await simulation.gateways[2]!.manager.acquire(customer, 2500, {patience: 300});
+	const reservation = await simulation.gateways[2]!.manager.acquire(customer, 2500, {timeoutMs: 300});
 	expect(reservation.ok).toBe(true);
 });
 
@@ -431,9 +431,9 @@
 // gateways are refused too.
 test('a request that exceeds the remaining budget leaves the tokens to smaller requests', async () => {
 	const simulation = await createSimulation(3000, 'first');
-	const refused = await simulation.gateways[1]!.manager.acquire(customer, 5000, {patience: 300});
+	const refused = await simulation.gateways[1]!.manager.acquire(customer, 5000, {timeoutMs: 300});
 	expect(refused.ok).toBe(false);
-	expect(simulation.gateways[1]!.account.countFree(customer)).toBe(0);
-	const small = await simulation.gateways[2]!.manager.acquire(customer, 2500, {patience: 300});
+	expect(simulation.gateways[1]!.account.countFreeTokens(customer)).toBe(0);
+	const small = await simulation.gateways[2]!.manager.acquire(customer, 2500, {timeoutMs: 300});
 	expect(small.ok).toBe(true);
 });
--- a/src/coordination/budget-keeper.ts
+++ b/src/coordination/budget-manager.ts
@@ -9,10 +9,10 @@
 	Err, Ok, createFailure, type EventLog, type Failure, type KeyedLog, type Result,
 } from '../protocol/mod.js';
 import {
-	type GrantBook, type HolderRecord, type RouteTable, type TokenAccount, type TokenReservation,
+	type GrantRegistry, type HolderRecord, type RouteTable, type TokenAccount, type TokenReservation,
 } from '../state/mod.js';
 import type {Clock} from '../transport/mod.js';
-import type {BudgetOwners} from './budget-homes.js';
+import type {BudgetOwners} from './budget-owners.js';
 import {createDemand} from './demand.js';
 import {computeGrant} from './grant-size.js';
 import type {KeyedFollower} from './keyed-follower.js';
@@ -21,10 +21,10 @@
 /** Identity under which a gateway holds its grants. */
 export type HolderIdentity = Pick<HolderRecord, 'role' | 'daemon' | 'incarnation' | 'address' | 'newsAddress' | 'failureDomain'>;
 
-/** Options of {@linkcode BudgetKeeper.acquire}. */
+/** Options of {@linkcode BudgetManager.acquire}. */
 export type AcquireTokensOptions = {
 	/** Timeout of a claim, in milliseconds. */
-	readonly patience: number;
+	readonly timeoutMs: number;
 	/** ID of the request, for log events. */
 	readonly request?: string;
 };
@@ -32,25 +32,25 @@
 /** Borrows tokens from other gateways. */
 export type BorrowTokens = (customer: string, amounts: BorrowAmounts) => Promise<BorrowOutcome>;
 
-/** Options of {@linkcode createBudgetKeeper}. */
+/** Options of {@linkcode createBudgetManager}. */
 export type CreateBudgetManagerOptions = {
 	readonly self: HolderIdentity;
 	readonly log: KeyedLog;
 	readonly follower: KeyedFollower;
-	readonly book: GrantBook;
+	readonly grants: GrantRegistry;
 	readonly account: TokenAccount;
 	/** Returns the routes and customers of the deployment in force; undefined before the first one is known. */
-	readonly findTable: () => RouteTable | undefined;
+	readonly findRouteTable: () => RouteTable | undefined;
 	readonly borrow: BorrowTokens;
 	/** Determines which gateway claims a customer's budget. */
-	readonly homes: Pick<BudgetOwners, 'isHome' | 'isSmallFleet' | 'countClaimers'>;
+	readonly owners: Pick<BudgetOwners, 'isOwner' | 'isSmallFleet' | 'countClaimers'>;
 	readonly clock: Clock;
 	readonly events: EventLog;
 	readonly signal: AbortSignal;
 };
 
 /** Manages the tokens of one gateway. */
-export type BudgetKeeper = ReturnType<typeof createBudgetKeeper>;
+export type BudgetManager = ReturnType<typeof createBudgetManager>;
 
 /** Shortest period over which a new rate is averaged, so that a single first request does not look like a burst. */
 const rateWarmUpMs = 2000;
@@ -92,15 +92,15 @@
  *
  * @example
  * ```ts
- * const reservation = await manager.acquire('city-1', 1540, {patience: 300});
+ * const reservation = await manager.acquire('city-1', 1540, {timeoutMs: 300});
  * ```
  *
  * @param options The grants log, the token account and the deployment
  * @returns The manager
  */
-export function createBudgetKeeper(options: CreateBudgetManagerOptions) {
+export function createBudgetManager(options: CreateBudgetManagerOptions) {
 	const {
-		self, log, follower, book, account, homes, findTable, clock, events, signal,
+		self, log, follower, grants, account, owners, findRouteTable, clock, events, signal,
 	} = options;
 	const key = formatHolderKey(self);
 	const demand = createDemand(clock, {warmUpMs: rateWarmUpMs});
@@ -122,7 +122,7 @@
 		}
 
 		hasRestoredRates = true;
-		for (const [customer, rate] of Object.entries(book.findPredecessor(self.daemon, self.incarnation)?.rates ?? {})) {
+		for (const [customer, rate] of Object.entries(grants.findPredecessor(self.daemon, self.incarnation)?.rates ?? {})) {
 			if (demand.findRate(customer) === 0) {
 				demand.setRate(customer, rate / millisecondsPerSecond);
 			}
@@ -131,17 +131,17 @@
 
 	function computeGrantTotal(customer: string, bought: number): number {
 		const {granted} = account.get(customer);
-		const isOwner = homes.isHome(customer);
+		const isOwner = owners.isOwner(customer);
 		return computeGrant({
 			granted,
-			bound: account.countBound(customer),
-			free: account.countFree(customer),
+			bound: account.countCommittedTokens(customer),
+			free: account.countFreeTokens(customer),
 			wanted: isOwner || waitingClaims.has(customer) ? demand.countWanted(customer) : 0,
 			// Tokens of a budget that another gateway owns are borrowed on demand, not claimed ahead.
 			rate: isOwner ? demand.findRate(customer) : 0,
 			claimDurationMs,
-			available: bought - book.sumGranted(customer, key),
-			claimers: homes.countClaimers(),
+			available: bought - grants.sumGranted(customer, key),
+			claimers: owners.countClaimers(),
 			isEnding,
 		});
 	}
@@ -149,19 +149,19 @@
 	// Returns the next record, or undefined if nothing changes or another writer has seen a newer deployment, in which
 	// budgets may have been lowered.
 	function buildNextRecord(): HolderRecord | undefined {
-		const table = findTable();
-		if (!table || book.findNewestVersion() > table.version) {
+		const table = findRouteTable();
+		if (!table || grants.findNewestVersion() > table.version) {
 			return undefined;
 		}
 
 		restoreRates();
 		const granted: Record<string, number> = {};
 		const rates: Record<string, number> = {};
-		let hasChanged = book.get(key) === undefined || (isEnding && !book.get(key)!.hasEnded);
+		let hasChanged = grants.get(key) === undefined || (isEnding && !grants.get(key)!.hasEnded);
 		for (const customer of new Set([...account.listCustomers(), ...(table.deployment.customers ?? []).map(({id}) => id)])) {
 			const bought = table.findCustomer(customer)?.bought;
 			// Compares with the total in the log, because a decrease takes effect in the account before it is appended.
-			const recordedTotal = book.get(key)?.granted[customer] ?? 0;
+			const recordedTotal = grants.get(key)?.granted[customer] ?? 0;
 			const nextTotal = bought === undefined ? account.get(customer).granted : computeGrantTotal(customer, bought);
 			hasChanged ||= nextTotal !== recordedTotal;
 			if (nextTotal > 0) {
@@ -192,13 +192,13 @@
 	// Reads the log before each claim, and whenever a request lacks tokens. A round that changes nothing does not read,
 	// because the follower's own reads bring the records of other writers.
 	async function tryWriteRecord(): Promise<'done' | 'again'> {
-		const canSkipRead = follower.next() !== undefined && waitingClaims.size === 0;
+		const canSkipRead = follower.getNextOffset() !== undefined && waitingClaims.size === 0;
 		if ((canSkipRead && !buildNextRecord()) || !await follower.catchUp(signal)) {
 			return 'done';
 		}
 
 		const record = buildNextRecord();
-		const nextOffset = follower.next();
+		const nextOffset = follower.getNextOffset();
 		if (!record || nextOffset === undefined) {
 			return 'done';
 		}
@@ -210,7 +210,7 @@
 		switch (outcome.kind) {
 			case 'appended': {
 				claimDurationMs = clock.now() - (roundStartedAt ?? clock.now());
-				follower.takeOwn({key, value, offset: outcome.offset});
+				follower.applyOwnRecord({key, value, offset: outcome.offset});
 				return 'done';
 			}
 
@@ -295,18 +295,18 @@
 	}
 
 	async function borrowMissing(customer: string): Promise<BorrowOutcome> {
-		const needed = demand.countWanted(customer) - account.countFree(customer);
-		const wanted = homes.isSmallFleet() ? needed * borrowFactor : needed + (demand.findRate(customer) * borrowAheadMs);
+		const needed = demand.countWanted(customer) - account.countFreeTokens(customer);
+		const wanted = owners.isSmallFleet() ? needed * borrowFactor : needed + (demand.findRate(customer) * borrowAheadMs);
 		return options.borrow(customer, {needed, wanted});
 	}
 
 	function countRemaining(customer: string): number {
-		const bought = findTable()?.findCustomer(customer)?.bought ?? 0;
-		return Math.max(0, bought - book.sumGranted(customer, key) - account.countBound(customer));
+		const bought = findRouteTable()?.findCustomer(customer)?.bought ?? 0;
+		return Math.max(0, bought - grants.sumGranted(customer, key) - account.countCommittedTokens(customer));
 	}
 
 	async function syncGrants(timeoutMs: number): Promise<void> {
-		if (follower.isUp() && (follower.countSinceAnswer() ?? Number.POSITIVE_INFINITY) > roundIntervalMs) {
+		if (follower.isUp() && (follower.computeStalenessMs() ?? Number.POSITIVE_INFINITY) > roundIntervalMs) {
 			await Promise.race([follower.catchUp(signal), clock.sleep(timeoutMs)]);
 		}
 	}
@@ -314,7 +314,7 @@
 	// Borrows from other gateways, one of which claims for this one. Borrows twice, because a search that was already
 	// running may not have counted this request. If that is insufficient although the log shows unclaimed tokens, the owner
 	// may be cut off from the store, and this gateway claims for itself.
-	async function acquireFromOwner(customer: string, amount: number, {patience, request}: AcquireTokensOptions): Promise<Result<TokenReservation, Failure>> {
+	async function acquireFromOwner(customer: string, amount: number, {timeoutMs, request}: AcquireTokensOptions): Promise<Result<TokenReservation, Failure>> {
 		let isComplete = false;
 		for (let round = 0; round < 2; round += 1) {
 			const outcome = await borrowMissing(customer);
@@ -325,14 +325,14 @@
 			}
 		}
 
-		await syncGrants(patience);
-		const claimed = follower.isUp() && countRemaining(customer) >= amount ? await claimAndReserve(customer, amount, patience) : undefined;
+		await syncGrants(timeoutMs);
+		const claimed = follower.isUp() && countRemaining(customer) >= amount ? await claimAndReserve(customer, amount, timeoutMs) : undefined;
 		return claimed ? Ok(claimed) : Err(refuse(customer, amount, {isComplete, request}));
 	}
 
 	// Claims first, or borrows first while claims are slow. Always borrows last, so that a refusal is based on the latest
 	// answers of the other gateways.
-	async function acquireAsOwner(customer: string, amount: number, {patience, request}: AcquireTokensOptions): Promise<Result<TokenReservation, Failure>> {
+	async function acquireAsOwner(customer: string, amount: number, {timeoutMs, request}: AcquireTokensOptions): Promise<Result<TokenReservation, Failure>> {
 		if (isClaimSlow()) {
 			await borrowMissing(customer);
 			const borrowed = reserve(customer, amount);
@@ -341,7 +341,7 @@
 			}
 		}
 
-		const claimed = follower.isUp() ? await claimAndReserve(customer, amount, patience) : undefined;
+		const claimed = follower.isUp() ? await claimAndReserve(customer, amount, timeoutMs) : undefined;
 		if (claimed) {
 			return Ok(claimed);
 		}
@@ -354,12 +354,12 @@
 	// Refuses as exhausted only if the log and every gateway have just confirmed it. While a read hangs, the log still counts
 	// as up until the read fails, and tokens that other gateways have released since are unknown.
 	function refuse(customer: string, amount: number, {isComplete, request}: {readonly isComplete: boolean; readonly request?: string}): Failure {
-		const bought = findTable()?.findCustomer(customer)?.bought ?? 0;
+		const bought = findRouteTable()?.findCustomer(customer)?.bought ?? 0;
 		const remaining = countRemaining(customer);
-		const syncAgeMs = follower.countSinceAnswer() ?? Number.POSITIVE_INFINITY;
+		const syncAgeMs = follower.computeStalenessMs() ?? Number.POSITIVE_INFINITY;
 		const isCertain = follower.isUp() && syncAgeMs <= maxSyncAgeMs && isComplete;
 		events.write('budgetShort', {
-			request, customer, amount, free: account.countFree(customer), bound: account.countBound(customer), bought, elsewhere: book.sumGranted(customer, key), isStoreUp: follower.isUp(), bookMs: syncAgeMs, isComplete,
+			request, customer, amount, free: account.countFreeTokens(customer), bound: account.countCommittedTokens(customer), bought, elsewhere: grants.sumGranted(customer, key), isStoreUp: follower.isUp(), bookMs: syncAgeMs, isComplete,
 		});
 		return isCertain && remaining < amount
 			? createFailure('budget-exhausted', `Customer "${customer}" has ${remaining} of ${bought} tokens left and the request may need ${amount}`)
@@ -368,7 +368,7 @@
 
 	return {
 		/** Applies a record of this gateway that was read back or confirmed; its increases may not be used before. */
-		takeOwnRecord(record: HolderRecord): void {
+		applyOwnRecord(record: HolderRecord): void {
 			for (const customer of new Set([...account.listCustomers(), ...Object.keys(record.granted)])) {
 				account.setGranted(customer, record.granted[customer] ?? 0);
 			}
@@ -386,7 +386,7 @@
 
 			const stopWaiting = demand.addWaiting(customer, amount);
 			try {
-				return await (homes.isHome(customer) ? acquireAsOwner(customer, amount, acquireOptions) : acquireFromOwner(customer, amount, acquireOptions));
+				return await (owners.isOwner(customer) ? acquireAsOwner(customer, amount, acquireOptions) : acquireFromOwner(customer, amount, acquireOptions));
 			} finally {
 				stopWaiting();
 			}
@@ -402,17 +402,17 @@
 		countWanted: demand.countWanted,
 
 		/** Claims tokens on behalf of another gateway until the given amount is free in addition to what waiting requests need. */
-		async claimFor(customer: string, amount: number): Promise<void> {
+		async claimForPeer(customer: string, amount: number): Promise<void> {
 			const stopWaiting = demand.addWaiting(customer, amount);
-			await claimUntil(customer, {timeoutMs: claimForPeerTimeoutMs, isDone: () => account.countFree(customer) >= demand.countWanted(customer)});
+			await claimUntil(customer, {timeoutMs: claimForPeerTimeoutMs, isDone: () => account.countFreeTokens(customer) >= demand.countWanted(customer)});
 			stopWaiting();
 		},
 
 		/** Adds tokens lent to another gateway to the demand of this one, which claims on its behalf. */
-		noteLent: demand.recordSpent,
+		recordLent: demand.recordSpent,
 
 		/** Returns the number of free tokens beyond the demand expected here until the next round. */
-		countSpare: (customer: string): number => Math.max(0, account.countFree(customer) - (demand.findRate(customer) * roundIntervalMs)),
+		countSpare: (customer: string): number => Math.max(0, account.countFreeTokens(customer) - (demand.findRate(customer) * roundIntervalMs)),
 
 		/** Runs a round now: claims the demand of the next seconds and releases idle tokens. */
 		renew: renewGrants,
@@ -425,7 +425,7 @@
 		},
 
 		/** Releases all unused tokens, when the gateway stops. */
-		async end(): Promise<void> {
+		async releaseUnused(): Promise<void> {
 			isEnding = true;
 			await activeRound;
 			await renewGrants();
--- a/src/coordination/budget-owners.test.ts
+++ b/src/coordination/budget-owners.test.ts
@@ -1,9 +1,9 @@
 import {expect, test} from 'vitest';
-import {createBudgetHomes} from './mod.js';
+import {createBudgetOwners} from './mod.js';
 
 function createOwners(daemon: string, names: readonly string[]) {
 	const fleet = {now: 0, names};
-	const owners = createBudgetHomes({clock: {now: () => fleet.now, sleep: async () => undefined}, daemon, listPeers: () => fleet.names.filter(name => name !== daemon)});
+	const owners = createBudgetOwners({clock: {now: () => fleet.now, sleep: async () => undefined}, daemon, listPeers: () => fleet.names.filter(name => name !== daemon)});
 	return {fleet, owners};
 }
 
@@ -12,21 +12,21 @@
 
 test('in a small fleet each gateway claims for itself', () => {
 	const {owners} = createOwners('e0', names.slice(0, 4));
-	expect(customers.every(customer => owners.isHome(customer))).toBe(true);
-	expect(owners.listHomes('c0')).toEqual([]);
+	expect(customers.every(customer => owners.isOwner(customer))).toBe(true);
+	expect(owners.listOwners('c0')).toEqual([]);
 	expect(owners.countClaimers()).toBe(4);
 });
 
 test('in a larger fleet each budget has exactly one owner', () => {
 	const all = names.map(name => createOwners(name, names).owners);
-	expect(customers.map(customer => all.filter(owners => owners.isHome(customer)).length)).toEqual(customers.map(() => 1));
+	expect(customers.map(customer => all.filter(owners => owners.isOwner(customer)).length)).toEqual(customers.map(() => 1));
 });
 
 // Guards against a budget that no gateway claims after its owner has died.
 test('the next gateway in the order becomes the owner when the first is gone', () => {
 	const {fleet, owners} = createOwners('e0', names);
-	const [first, second] = owners.listHomes('c0');
+	const [first, second] = owners.listOwners('c0');
 	fleet.names = names.filter(name => name !== first);
 	fleet.now += 1000;
-	expect(owners.listHomes('c0')[0]).toBe(second);
+	expect(owners.listOwners('c0')[0]).toBe(second);
 });
--- a/src/coordination/budget-homes.ts
+++ b/src/coordination/budget-owners.ts
@@ -18,7 +18,7 @@
 import type {Clock} from '../transport/mod.js';
 import {rankByRendezvous} from './rendezvous.js';
 
-/** Options of {@linkcode createBudgetHomes}. */
+/** Options of {@linkcode createBudgetOwners}. */
 export type CreateBudgetOwnersOptions = {
 	readonly clock: Clock;
 	/** This gateway's name. */
@@ -28,7 +28,7 @@
 };
 
 /** Determines which gateway claims a customer's budget. */
-export type BudgetOwners = ReturnType<typeof createBudgetHomes>;
+export type BudgetOwners = ReturnType<typeof createBudgetOwners>;
 
 /** Largest number of gateways with which each claims for itself. */
 const maxSmallFleetSize = 4;
@@ -39,14 +39,14 @@
  *
  * @example
  * ```ts
- * const owners = createBudgetHomes({clock, daemon: 'entry-1', listPeers});
- * owners.isHome('city-1');
+ * const owners = createBudgetOwners({clock, daemon: 'entry-1', listPeers});
+ * owners.isOwner('city-1');
  * ```
  *
  * @param options This gateway and its peers
  * @returns The assignment
  */
-export function createBudgetHomes(options: CreateBudgetOwnersOptions) {
+export function createBudgetOwners(options: CreateBudgetOwnersOptions) {
 	const {clock, daemon} = options;
 	const rankedByCustomer = new Map<string, readonly string[]>();
 	let gateways: readonly string[] = [daemon];
@@ -80,9 +80,9 @@
 		/** Returns true if each gateway claims for itself. */
 		isSmallFleet,
 		/** Returns true if this gateway claims the customer's budget. */
-		isHome: (customer: string): boolean => isSmallFleet() || rankGateways(customer)[0] === daemon,
+		isOwner: (customer: string): boolean => isSmallFleet() || rankGateways(customer)[0] === daemon,
 		/** Returns the gateways in the order in which they take over the customer's budget; none in a small fleet. */
-		listHomes: (customer: string): readonly string[] => isSmallFleet() ? [] : rankGateways(customer),
+		listOwners: (customer: string): readonly string[] => isSmallFleet() ? [] : rankGateways(customer),
 		/** Returns the number of gateways that claim the customer's budget. */
 		countClaimers: (): number => isSmallFleet() ? gateways.length : 1,
 	};
--- a/src/coordination/crash-detector.test.ts
+++ b/src/coordination/crash-detector.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from 'vitest';
 import type {UpstreamEntry} from '../protocol/mod.js';
 import type {ProbeVerdict} from '../transport/mod.js';
-import {createCrashWatch} from './mod.js';
+import {createCrashDetector} from './mod.js';
 
 const upstream: UpstreamEntry = {
 	id: 'u1', service: 's', address: '127.0.0.1:1', failureDomain: 'd', slots: 4, isDraining: false, warmUp: 0,
@@ -9,8 +9,8 @@
 
 function createFixture(verdict: ProbeVerdict, isExpected = true) {
 	const state = {probes: 0, isExpected};
-	const detector = createCrashWatch({
-		isExpected: () => state.isExpected,
+	const detector = createCrashDetector({
+		isExpectedUp: () => state.isExpected,
 		async probe() {
 			state.probes += 1;
 			return verdict;
--- a/src/coordination/crash-watch.ts
+++ b/src/coordination/crash-detector.ts
@@ -10,16 +10,16 @@
 import type {UpstreamEntry} from '../protocol/mod.js';
 import type {ProbeVerdict} from '../transport/mod.js';
 
-/** Options of {@linkcode createCrashWatch}. */
+/** Options of {@linkcode createCrashDetector}. */
 export type CreateCrashDetectorOptions = {
 	/** Returns true if an upstream is listed and not leaving. The end of any other upstream is not a crash. */
-	readonly isExpected: (upstream: string) => boolean;
+	readonly isExpectedUp: (upstream: string) => boolean;
 	/** Probes whether a process listens at an address. */
 	readonly probe: (address: string) => Promise<ProbeVerdict>;
 };
 
 /** Detects crashes of upstreams. */
-export type CrashDetector = ReturnType<typeof createCrashWatch>;
+export type CrashDetector = ReturnType<typeof createCrashDetector>;
 
 /** Number of crashed upstreams whose ids are kept. */
 const maxCrashedIds = 200;
@@ -35,7 +35,7 @@
  * @param options Whether upstreams are expected to run, and how to probe them
  * @returns The crash detector
  */
-export function createCrashWatch(options: CreateCrashDetectorOptions) {
+export function createCrashDetector(options: CreateCrashDetectorOptions) {
 	const crashedIds = new Set<string>();
 	const pendingProbes = new Map<string, Promise<ProbeVerdict>>();
 
@@ -65,7 +65,7 @@
 			}
 
 			// Checked before the probe, because a crashed upstream may be removed from the list while the probe is pending.
-			if (!options.isExpected(upstream.id) || await probeShared(upstream) !== 'refused') {
+			if (!options.isExpectedUp(upstream.id) || await probeShared(upstream) !== 'refused') {
 				return false;
 			}
 
--- a/src/coordination/engine-limit.ts
+++ b/src/coordination/engine-limit.ts
@@ -15,13 +15,13 @@
  *
  * @example
  * ```ts
- * readLimit(Buffer.from('{"max_tokens": 40}')); // 40
+ * readMaxTokens(Buffer.from('{"max_tokens": 40}')); // 40
  * ```
  *
  * @param payload The request body as JSON
  * @returns The limit in tokens; `Number.MAX_SAFE_INTEGER` if the request has none
  */
-export function readLimit(payload: Uint8Array): number {
+export function readMaxTokens(payload: Uint8Array): number {
 	const body = JSON.parse(Buffer.from(payload).toString()) as Record<string, unknown>;
 	const limit = limitFields.map(member => body[member]).find(value => typeof value === 'number');
 	return limit ?? Number.MAX_SAFE_INTEGER;
--- a/src/coordination/event-loop-monitor.test.ts
+++ b/src/coordination/event-loop-monitor.test.ts
@@ -1,6 +1,6 @@
 import {expect, test} from 'vitest';
 import {createVirtualTime} from '../../tools/measure/virtual-clock.js';
-import {runLoopWatch, type LoopStall} from './mod.js';
+import {monitorEventLoop, type LoopStall} from './mod.js';
 
 /** Monitors an event loop that stalls once, from `at` on. */
 async function runStall({at, stallMs, cpuMs}: {readonly at: number; readonly stallMs: number; readonly cpuMs: number}) {
@@ -9,7 +9,7 @@
 	const stalls: LoopStall[] = [];
 	const lags: number[] = [];
 	let hasStalled = false;
-	void runLoopWatch({
+	void monitorEventLoop({
 		clock: {
 			now: time.now,
 			async sleep(durationMs, signal) {
@@ -18,13 +18,13 @@
 				await time.sleep(durationMs + (isStalling ? stallMs : 0), signal);
 			},
 		},
-		onRound(lag) {
+		onWindow(lag) {
 			lags.push(lag);
 		},
 		onStall(stall) {
 			stalls.push(stall);
 		},
-		readWork: () => ({cpuMs: hasStalled && time.now() > at + stallMs ? cpuMs : 0, connections: 0, requests: hasStalled ? 7 : 0}),
+		readStats: () => ({cpuMs: hasStalled && time.now() > at + stallMs ? cpuMs : 0, connections: 0, requests: hasStalled ? 7 : 0}),
 	}, stopper.signal);
 	await time.runUntil(at + stallMs + 1000);
 	stopper.abort();
--- a/src/coordination/loop-watch.ts
+++ b/src/coordination/event-loop-monitor.ts
@@ -6,7 +6,7 @@
 import type {Clock} from '../transport/mod.js';
 
 /** Counters of a process since it started. */
-export type ProcessWork = {
+export type ProcessStats = {
 	/** Processor time, in milliseconds. */
 	readonly cpuMs: number;
 	/** Accepted connections of callers. */
@@ -29,15 +29,15 @@
 	readonly upSeconds: number;
 };
 
-/** Options of {@linkcode runLoopWatch}. */
+/** Options of {@linkcode monitorEventLoop}. */
 export type MonitorEventLoopOptions = {
 	readonly clock: Clock;
 	/** Called after each window with its maximum lag, in milliseconds. */
-	readonly onRound: (lag: number) => void;
+	readonly onWindow: (lag: number) => void;
 	/** Called after a stall. */
 	readonly onStall?: (stall: LoopStall) => void;
 	/** Reads the counters of the process. */
-	readonly readWork?: () => ProcessWork;
+	readonly readStats?: () => ProcessStats;
 };
 
 const sampleIntervalMs = 50;
@@ -45,25 +45,25 @@
 /** Lag above which the event loop counts as stalled, because callers wait one second for a new connection. */
 const stallThresholdMs = 1000;
 const millisecondsPerSecond = 1000;
-const noStats: ProcessWork = {cpuMs: 0, connections: 0, requests: 0};
+const noStats: ProcessStats = {cpuMs: 0, connections: 0, requests: 0};
 
 /**
  * Monitors the event loop until the signal is aborted.
  *
  * @example
  * ```ts
- * void runLoopWatch({clock, onRound: admission.noteLag}, signal);
+ * void monitorEventLoop({clock, onWindow: admission.noteLag}, signal);
  * ```
  *
  * @param options The clock, the callbacks and the counters of the process
  * @param signal Stops monitoring when aborted
  */
-export async function runLoopWatch(options: MonitorEventLoopOptions, signal: AbortSignal): Promise<void> {
+export async function monitorEventLoop(options: MonitorEventLoopOptions, signal: AbortSignal): Promise<void> {
 	const {
-		clock, onRound, onStall, readWork = () => noStats,
+		clock, onWindow, onStall, readStats = () => noStats,
 	} = options;
 	const startedAt = clock.now();
-	let before = readWork();
+	let before = readStats();
 	while (!signal.aborted) {
 		let maxLagMs = 0;
 		const windowEndsAt = clock.now() + windowMs;
@@ -73,7 +73,7 @@
 			const lagMs = clock.now() - dueAt;
 			maxLagMs = Math.max(maxLagMs, lagMs);
 			if (lagMs > stallThresholdMs) {
-				const after = readWork();
+				const after = readStats();
 				onStall?.({
 					lateMs: Math.round(lagMs),
 					cpuMs: Math.round(after.cpuMs - before.cpuMs),
@@ -84,7 +84,7 @@
 			}
 		}
 
-		onRound(maxLagMs);
-		before = readWork();
+		onWindow(maxLagMs);
+		before = readStats();
 	}
 }
--- a/src/coordination/expiry-grace.ts
+++ b/src/coordination/expiry-grace.ts
@@ -13,14 +13,14 @@
  */
 import type {LogOutage} from './keyed-follower.js';
 
-/** Options of {@linkcode createLapseGrace}. */
+/** Options of {@linkcode createExpiryGrace}. */
 export type CreateExpiryGraceOptions = {
 	/** Interval at which an upstream renews its registration, in milliseconds. */
-	readonly heartbeat: number;
+	readonly heartbeatIntervalMs: number;
 };
 
 /** Computes the grace period of upstreams whose registrations were removed. */
-export type ExpiryGrace = ReturnType<typeof createLapseGrace>;
+export type ExpiryGrace = ReturnType<typeof createExpiryGrace>;
 
 /** Upstreams whose registrations expired register again within this time of the store's recovery. */
 const recoveryGraceMs = 2000;
@@ -39,26 +39,26 @@
  *
  * @example
  * ```ts
- * const grace = createLapseGrace({heartbeat: 1200});
- * grace.noteReturn({lastSuccessAt: 0, lastFailureAt: 5000, recoveredAt: 5200});
- * grace.findEnd(5300); // 7000
+ * const grace = createExpiryGrace({heartbeatIntervalMs: 1200});
+ * grace.recordOutage({lastSuccessAt: 0, lastFailureAt: 5000, recoveredAt: 5200});
+ * grace.findGraceEnd(5300); // 7000
  * ```
  *
  * @param options The interval at which upstreams renew their registrations
  * @returns The grace period
  */
-export function createLapseGrace({heartbeat: heartbeatIntervalMs}: CreateExpiryGraceOptions) {
+export function createExpiryGrace({heartbeatIntervalMs: heartbeatIntervalMs}: CreateExpiryGraceOptions) {
 	let graceEnd = Number.NEGATIVE_INFINITY;
 
 	return {
 		/** Records an outage of the store that has just ended. */
-		noteReturn({lastSuccessAt, lastFailureAt, recoveredAt}: LogOutage): void {
+		recordOutage({lastSuccessAt, lastFailureAt, recoveredAt}: LogOutage): void {
 			if (recoveredAt - lastSuccessAt >= heartbeatIntervalMs * minOutageHeartbeats) {
 				graceEnd = lastFailureAt + recoveryGraceMs;
 			}
 		},
 
 		/** Returns when the grace period ends for a registration found removed at `now`; undefined if there is none. */
-		findEnd: (now: number): number | undefined => now < graceEnd ? graceEnd : undefined,
+		findGraceEnd: (now: number): number | undefined => now < graceEnd ? graceEnd : undefined,
 	};
 }
--- a/src/coordination/forward-types.ts
+++ b/src/coordination/forward-types.ts
@@ -16,7 +16,7 @@
 	readonly write: (bytes: Uint8Array) => Promise<void> | undefined;
 	readonly end: (bytes?: Uint8Array) => void;
 	/** Closes the connection in such a way that the answer cannot appear complete. */
-	readonly cut: () => void;
+	readonly abort: () => void;
 	/** Answers with a failure of the gateway itself. */
 	readonly refuse: (failure: Failure) => void;
 };
@@ -36,7 +36,7 @@
 	readonly rawHeaders: RawHeaders;
 	readonly body: Uint8Array | undefined;
 	readonly generation: Generation | undefined;
-	readonly lastEvent: string | undefined;
+	readonly lastEventId: string | undefined;
 	/** Start of the request, in milliseconds of the monotonic clock. */
 	readonly startedAt: number;
 	/** Time by which the final answer is due, in milliseconds of the monotonic clock. */
--- a/src/coordination/frame-check.ts
+++ b/src/coordination/frame-check.ts
@@ -32,14 +32,14 @@
  *
  * @example
  * ```ts
- * isWantedFrame(frame, {requestId, attempt, sequence: 3});
+ * isExpectedFrame(frame, {requestId, attempt, sequence: 3});
  * ```
  *
  * @param frame The frame
  * @param expected The frame that is expected next
  * @returns False if the frame must be dropped
  */
-export function isWantedFrame(frame: RunFrame, expected: ExpectedFrame): boolean {
+export function isExpectedFrame(frame: RunFrame, expected: ExpectedFrame): boolean {
 	const isSameAttempt = frame.requestId === expected.requestId && frame.attempt === expected.attempt;
 	return isSameAttempt && (frame.body.case !== 'chunk' || frame.sequence === expected.sequence);
 }
@@ -52,13 +52,13 @@
  *
  * @example
  * ```ts
- * isWholeAnswer(done, {chunks: 3, length: 120, digest});
+ * isCompleteAnswer(done, {chunks: 3, length: 120, digest});
  * ```
  *
  * @param done The last frame
  * @param received Totals over the received chunks
  * @returns True if no chunk is missing or altered
  */
-export function isWholeAnswer(done: Done, received: ReceivedAnswer): boolean {
+export function isCompleteAnswer(done: Done, received: ReceivedAnswer): boolean {
 	return done.chunks === received.chunks && done.length === received.length && done.digest === received.digest;
 }
--- a/src/coordination/grant-manager.test.ts
+++ b/src/coordination/grant-manager.test.ts
@@ -7,7 +7,7 @@
 import {createFleetState, createGrantHolder, type Member} from '../state/mod.js';
 import type {FleetClient} from '../transport/mod.js';
 import {
-	AheadGrantPolicy, createGrantKeeper, createLoanDesk, type LoanAnswer, type LogFollower, type LogWriter, type Membership, type Self,
+	AheadGrantPolicy, createGrantManager, createLoanManager, type LoanAnswer, type LogFollower, type LogWriter, type Membership, type Self,
 } from './mod.js';
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
@@ -42,14 +42,14 @@
 /** Simulates an entry daemon that holds no tokens, with one peer. */
 function createSimulation(borrow: () => Promise<LoanAnswer>, {heldByPeer = 1000, claimDurationMs = 0}: SimulationOptions = {}) {
 	const time = createVirtualTime();
-	const state = createFleetState({window: 1_000_000});
+	const state = createFleetState({retentionMs: 1_000_000});
 	const emitter = new Emittery();
 	let isLogUp = true;
 	let isPeerAlive = true;
 	const requestedLoans: string[] = [];
 
 	async function fold(record: LogRecord): Promise<void> {
-		state.fold({offset: state.next(), at: time.now(), data: record});
+		state.fold({offset: state.getNextOffset(), at: time.now(), data: record});
 		await emitter.emit('folded', {data: record});
 	}
 
@@ -89,11 +89,11 @@
 			},
 		}),
 	} as unknown as FleetClient;
-	const loans = createLoanDesk({
-		holder, membership, fleet, clock: time, events, listMembers, listWanted: id => manager.listWanted(id),
+	const loans = createLoanManager({
+		holder, membership, fleet, clock: time, events, listMembers, listWaitingAmounts: id => manager.listWanted(id),
 	});
-	const manager = createGrantKeeper({
-		follower, writer, membership, holder, loans, clock: time, events, policy: new AheadGrantPolicy(), every: 250,
+	const manager = createGrantManager({
+		follower, writer, membership, holder, loans, clock: time, events, policy: new AheadGrantPolicy(), intervalMs: 250,
 	});
 	return {
 		time, manager,
@@ -109,7 +109,7 @@
 				kind: 'leave', daemon: 'entry-1', incarnation: 'i', graceful: false, by: 'entry-2',
 			});
 		},
-		acquire: async (amount = 338) => manager.acquire(budget, amount, {patience: 5000, signal: new AbortController().signal}),
+		acquire: async (amount = 338) => manager.acquire(budget, amount, {timeoutMs: 5000, signal: new AbortController().signal}),
 	};
 }
 
--- a/src/coordination/grant-keeper.ts
+++ b/src/coordination/grant-manager.ts
@@ -9,42 +9,42 @@
 	Err, Ok, createId, type EventLog, type Failure, type GrantShare, type RecordOf, type Result,
 } from '../protocol/mod.js';
 import {
-	formatGrant, sumShares, type GrantHolder, type Reservation, type Source,
+	formatGrantId, sumShares, type GrantHolder, type Reservation, type TokenSource,
 } from '../state/mod.js';
 import type {Clock} from '../transport/mod.js';
 import {createDemand} from './demand.js';
 import type {BudgetView, GrantPolicy} from './grant-policy.js';
-import type {LoanDesk, LoanSearch} from './loan-desk.js';
+import type {LoanManager, LoanSearch} from './loan-manager.js';
 import type {LogFollower} from './log-follower.js';
 import type {LogWriter} from './log-writer.js';
 import type {Membership} from './membership.js';
 import {createTokenAvailability} from './token-availability.js';
 
-/** Options of {@linkcode createGrantKeeper}. */
+/** Options of {@linkcode createGrantManager}. */
 export type CreateGrantManagerOptions = {
 	readonly follower: LogFollower;
 	readonly writer: LogWriter;
 	readonly membership: Membership;
 	readonly holder: GrantHolder;
-	readonly loans: LoanDesk;
+	readonly loans: LoanManager;
 	readonly policy: GrantPolicy;
 	readonly clock: Clock;
 	readonly events: EventLog;
 	/** Pause between rounds, in milliseconds. */
-	readonly every: number;
+	readonly intervalMs: number;
 	/** Timeout of an append, in milliseconds; default 10000. */
 	readonly appendTimeoutMs?: number;
 };
 
-/** Options of {@linkcode GrantKeeper.acquire}. */
+/** Options of {@linkcode GrantManager.acquire}. */
 export type AcquireOptions = {
 	/** Longest wait for tokens to become free, in milliseconds. */
-	readonly patience: number;
+	readonly timeoutMs: number;
 	readonly signal: AbortSignal;
 };
 
 /** Manages an entry daemon's tokens. */
-export type GrantKeeper = ReturnType<typeof createGrantKeeper>;
+export type GrantManager = ReturnType<typeof createGrantManager>;
 
 const defaultAppendTimeoutMs = 10_000;
 const claimTimeoutMs = 300;
@@ -55,13 +55,13 @@
  *
  * @example
  * ```ts
- * const reservation = await manager.acquire('b1', 500, {patience: 2000, signal});
+ * const reservation = await manager.acquire('b1', 500, {timeoutMs: 2000, signal});
  * ```
  *
  * @param options Grants, log, peers and policy
  * @returns The manager
  */
-export function createGrantKeeper(options: CreateGrantManagerOptions) {
+export function createGrantManager(options: CreateGrantManagerOptions) {
 	const {
 		follower, writer, membership, holder, loans, policy, clock, events,
 	} = options;
@@ -87,8 +87,8 @@
 		return {
 			remaining,
 			unspent,
-			free: holder.countFree(budget),
-			reserved: holder.countReserved(budget),
+			free: holder.countFreeTokens(budget),
+			reserved: holder.countReservedTokens(budget),
 			wanted: demand.countWanted(budget),
 			rate: demand.findRate(budget),
 			entries: membership.listLiveEntries(placement.list()).length + 1,
@@ -119,7 +119,7 @@
 			const grant = ledger.findGrant(source.grant);
 			// After a pause the holder may find its grant closed: others have taken over the remaining tokens, so none may be used.
 			if (grant?.waitsFor ?? (!grant && !source.lender)) {
-				holder.drop(source.grant);
+				holder.removeGrant(source.grant);
 				if (!closingGrants.has(source.grant)) {
 					events.write('grantLost', {grant: source.grant});
 				}
@@ -127,23 +127,23 @@
 		}
 	}
 
-	function listAllSources(): Source[] {
+	function listAllSources(): TokenSource[] {
 		return holder.listBudgets().flatMap(budget => holder.listSources(budget));
 	}
 
 	async function claimTokens(budget: string, amount: number): Promise<void> {
 		const {self} = membership;
 		const record: RecordOf<'claim'> = {
-			kind: 'claim', grant: formatGrant(createId('g'), budget), budget, daemon: self.id, incarnation: self.incarnation, amount,
+			kind: 'claim', grant: formatGrantId(createId('g'), budget), budget, daemon: self.id, incarnation: self.incarnation, amount,
 		};
 		claimedBudgets.add(budget);
-		const startOffset = follower.state().next();
+		const startOffset = follower.state().getNextOffset();
 		let isClaimSeen = false;
 		const stopWatching = follower.events.on('folded', ({data}) => {
 			isClaimSeen ||= data.kind === 'claim' && data.grant === record.grant;
 		});
 		await writer.commit(record, {
-			isFolded: state => isClaimSeen || state.ledger.findGrant(record.grant) !== undefined || (state.next() > startOffset && !isJoined()),
+			isFolded: state => isClaimSeen || state.ledger.findGrant(record.grant) !== undefined || (state.getNextOffset() > startOffset && !isJoined()),
 			signal: AbortSignal.timeout(appendTimeoutMs),
 		});
 		stopWatching();
@@ -187,7 +187,7 @@
 				kind: 'release', id, grant: source.grant, amount: 0, final: true,
 			}, {isFolded: state => !state.ledger.findGrant(source.grant), signal: AbortSignal.timeout(appendTimeoutMs)});
 			closingGrants.delete(source.grant);
-			holder.drop(source.grant);
+			holder.removeGrant(source.grant);
 		}));
 	}
 
@@ -218,7 +218,7 @@
 	// Closes grants that are partly lent to an ended incarnation; unspent tokens return with the final reports on these grants.
 	async function closeLentGrants(): Promise<void> {
 		const {placement} = follower.state();
-		const grants = loans.listLentTo((daemon, incarnation) => follower.isLogUp() && !placement.isCurrent(daemon, incarnation));
+		const grants = loans.removeLoansTo((daemon, incarnation) => follower.isLogUp() && !placement.isCurrent(daemon, incarnation));
 		await Promise.all([...grants].map(async grant => writer.commit({kind: 'close', grant, by: membership.self.id}, {
 			isFolded: state => state.ledger.findGrant(grant)?.waitsFor !== undefined || !state.ledger.findGrant(grant),
 			signal: AbortSignal.timeout(appendTimeoutMs),
@@ -250,7 +250,7 @@
 			}
 		}
 
-		return holder.countFree(budget) < demand.countWanted(budget) ? loans.borrow(budget, demand.countWanted(budget)) : {reserved: 0, isComplete: true};
+		return holder.countFreeTokens(budget) < demand.countWanted(budget) ? loans.borrow(budget, demand.countWanted(budget)) : {reserved: 0, isComplete: true};
 	}
 
 	// Runs one search per budget at a time, which concurrent requests share.
@@ -273,8 +273,8 @@
 		freed.off();
 	}
 
-	async function waitForTokens(budget: string, amount: number, {patience, signal}: AcquireOptions): Promise<Result<Reservation, Failure>> {
-		const deadline = clock.now() + patience;
+	async function waitForTokens(budget: string, amount: number, {timeoutMs, signal}: AcquireOptions): Promise<Result<Reservation, Failure>> {
+		const deadline = clock.now() + timeoutMs;
 		let isBusy = false;
 		while (!signal.aborted && clock.now() < deadline) {
 			const search = await searchOrJoin(budget);
@@ -299,7 +299,7 @@
 
 	return {
 		listWanted: demand.listWanted,
-		isShort: demand.wasInsufficient,
+		wasInsufficient: demand.wasInsufficient,
 		syncGrants,
 
 		/** Reserves tokens for a request, and waits for some to become free if that is possible. */
@@ -328,16 +328,16 @@
 				syncGrants();
 			});
 			while (!signal.aborted) {
-				await Promise.all([runRound(), loans.keepUp(), clock.sleep(options.every, signal)]);
+				await Promise.all([runRound(), loans.runRound(), clock.sleep(options.intervalMs, signal)]);
 			}
 
 			stopSync();
 		},
 
 		/** Releases all tokens that no request uses, when the daemon stops. */
-		async returnAll(): Promise<void> {
+		async releaseUnused(): Promise<void> {
 			await loans.repayAll();
-			await Promise.all(holder.listBudgets().map(async budget => releaseTokens(holder.withdraw(budget, holder.countFree(budget)))));
+			await Promise.all(holder.listBudgets().map(async budget => releaseTokens(holder.withdraw(budget, holder.countFreeTokens(budget)))));
 			await closeUsedGrants();
 		},
 	};
--- a/src/coordination/grant-policy.ts
+++ b/src/coordination/grant-policy.ts
@@ -51,9 +51,9 @@
 /** Options of {@linkcode AheadGrantPolicy}. */
 export type AheadGrantPolicyOptions = {
 	/** Duration of demand, in milliseconds, to cover for budgets that weigh refusals; default one hour. */
-	readonly horizon?: number;
+	readonly horizonMs?: number;
 	/** The same for budgets that weigh overspend; default five minutes. */
-	readonly shortHorizon?: number;
+	readonly shortHorizonMs?: number;
 };
 
 const defaultHorizonMs = 3_600_000;
@@ -78,8 +78,8 @@
 
 	constructor(options: AheadGrantPolicyOptions = {}) {
 		super();
-		this.#horizonMs = options.horizon ?? defaultHorizonMs;
-		this.#shortHorizonMs = options.shortHorizon ?? defaultShortHorizonMs;
+		this.#horizonMs = options.horizonMs ?? defaultHorizonMs;
+		this.#shortHorizonMs = options.shortHorizonMs ?? defaultShortHorizonMs;
 	}
 
 	decide(view: BudgetView): GrantDecision {
--- a/src/coordination/intents.ts
+++ b/src/coordination/intents.ts
@@ -35,7 +35,7 @@
 	readonly differences: readonly PlanDifference[];
 };
 
-/** Options of {@linkcode createIntents}. */
+/** Options of {@linkcode createIntentManager}. */
 export type CreateIntentManagerOptions = {
 	readonly follower: LogFollower;
 	readonly writer: LogWriter;
@@ -45,7 +45,7 @@
 };
 
 /** Manages intents: plans and confirms them. */
-export type Intents = ReturnType<typeof createIntents>;
+export type IntentManager = ReturnType<typeof createIntentManager>;
 
 const defaultCommitTimeoutMs = 10_000;
 
@@ -116,7 +116,7 @@
  * @param options The follower and the writer of the log
  * @returns The intent manager
  */
-export function createIntents(options: CreateIntentManagerOptions) {
+export function createIntentManager(options: CreateIntentManagerOptions) {
 	const {follower, writer, events} = options;
 	const commitTimeoutMs = options.commitTimeoutMs ?? defaultCommitTimeoutMs;
 
@@ -154,7 +154,7 @@
 		/** Records a plan for an intent; the configuration does not change until the plan is confirmed. */
 		async plan(intent: Intent, by: string): Promise<Result<PlanView, Failure>> {
 			const {configuration} = follower.state();
-			const refusals = configuration.listRefusals(intent.changes);
+			const refusals = configuration.listViolations(intent.changes);
 			if (refusals.length > 0) {
 				return Err(createFailure('plan-refused', refusals.join('; ')));
 			}
--- a/src/coordination/keyed-follower.ts
+++ b/src/coordination/keyed-follower.ts
@@ -24,21 +24,21 @@
 	readonly clock: Clock;
 	readonly events: EventLog;
 	/** How long a read may wait for a new record, in milliseconds; 0 returns immediately. */
-	readonly wait: number;
+	readonly longPollMs: number;
 	/** Pause after a successful read, in milliseconds. */
-	readonly every: number;
+	readonly readIntervalMs: number;
 	/**
 	 * Milliseconds that a read may take beyond its wait for a new record. After
 	 * that it counts as failed, and another read is sent while it stays pending;
 	 * by default reads do not time out.
 	 */
-	readonly patience?: number;
+	readonly readTimeoutMs?: number;
 	/** Called once for each record, in order of offset. */
 	readonly onRecord: (record: StoredRecord) => void;
 	/** Lists the known keys; those that are missing after a gap are reported as dropped. */
-	readonly listKeys?: () => string[];
+	readonly listKnownKeys?: () => string[];
 	/** Called when the log answers again, before its records are delivered. */
-	readonly onReturn?: (outage: LogOutage) => void;
+	readonly onRecovery?: (outage: LogOutage) => void;
 };
 
 /** Outcome of a read when it ends or times out; a hanging read is still pending. */
@@ -55,7 +55,7 @@
  *
  * @example
  * ```ts
- * const follower = createKeyedFollower({log, clock, events, wait: 1500, every: 0, onRecord: fold});
+ * const follower = createKeyedFollower({log, clock, events, longPollMs: 1500, readIntervalMs: 0, onRecord: fold});
  * void follower.run(signal);
  * ```
  *
@@ -70,13 +70,13 @@
 	let lastSuccessAt: number | undefined;
 	let pendingCatchUp: Promise<boolean> | undefined;
 	// A hanging read has already used up its timeout, so the next one is sent at once.
-	const pausesMs: Record<ReadResult, number> = {answered: options.every, failed: retryDelayMs, hanging: 0};
+	const pausesMs: Record<ReadResult, number> = {answered: options.readIntervalMs, failed: retryDelayMs, hanging: 0};
 
 	function reportRecovery(): void {
 		const now = clock.now();
 		events.write('logBack', {log: log.name, next: nextOffset, awayMs: lastSuccessAt === undefined ? undefined : Math.round(now - lastSuccessAt)});
 		if (lastSuccessAt !== undefined && lastFailureAt !== undefined) {
-			options.onReturn?.({lastSuccessAt, lastFailureAt, recoveredAt: now});
+			options.onRecovery?.({lastSuccessAt, lastFailureAt, recoveredAt: now});
 		}
 	}
 
@@ -133,7 +133,7 @@
 			return true;
 		}
 
-		const missingKeys = new Set(options.listKeys?.());
+		const missingKeys = new Set(options.listKnownKeys?.());
 		for (const record of records) {
 			missingKeys.delete(record.key);
 		}
@@ -180,12 +180,12 @@
 	// hanging read is not cancelled, since its answer may still arrive first.
 	async function readWithTimeout(signal: AbortSignal): Promise<ReadResult> {
 		const sentAt = clock.now();
-		const pending = readNext(options.wait, signal);
-		if (options.patience === undefined) {
+		const pending = readNext(options.longPollMs, signal);
+		if (options.readTimeoutMs === undefined) {
 			return await pending ? 'answered' : 'failed';
 		}
 
-		const timeoutMs = options.wait + options.patience;
+		const timeoutMs = options.longPollMs + options.readTimeoutMs;
 		const isAnswered = await waitAtMost(pending, {clock, span: timeoutMs});
 		if (isAnswered === undefined && !signal.aborted) {
 			recordFailure(sentAt, createFailure('log-unavailable', `A read was not answered within ${timeoutMs} ms`));
@@ -197,13 +197,13 @@
 
 	return {
 		/** Returns the offset of the next record to deliver; undefined before the first successful read. */
-		next: () => nextOffset,
+		getNextOffset: () => nextOffset,
 		isUp: () => isUp,
 		/**
 		 * Returns the whole milliseconds since the last successful read was sent;
 		 * later records may be missing. Undefined before the first.
 		 */
-		countSinceAnswer: (): number | undefined => lastSuccessAt === undefined ? undefined : Math.round(clock.now() - lastSuccessAt),
+		computeStalenessMs: (): number | undefined => lastSuccessAt === undefined ? undefined : Math.round(clock.now() - lastSuccessAt),
 
 		/** Reads new records without waiting for more; false if the log does not answer. Concurrent calls share one read. */
 		async catchUp(signal: AbortSignal): Promise<boolean> {
@@ -218,7 +218,7 @@
 		},
 
 		/** Delivers a record that this process has just appended, if the log put it at the next offset. */
-		takeOwn(record: StoredRecord): void {
+		applyOwnRecord(record: StoredRecord): void {
 			if (record.offset === nextOffset) {
 				onRecord(record);
 				nextOffset += 1;
--- a/src/coordination/loan-desk.test.ts
+++ b/src/coordination/loan-desk.test.ts
@@ -3,7 +3,7 @@
 import type {EventLog} from '../protocol/mod.js';
 import {createGrantHolder, type Member} from '../state/mod.js';
 import type {FleetClient} from '../transport/mod.js';
-import {createLoanDesk, type Membership} from './mod.js';
+import {createLoanManager, type Membership} from './mod.js';
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
 const budget = 'city-budget';
@@ -31,8 +31,8 @@
 			return {};
 		},
 	};
-	const loans = createLoanDesk({
-		holder, clock: time, events, listWanted: () => [], listMembers: () => members,
+	const loans = createLoanManager({
+		holder, clock: time, events, listWaitingAmounts: () => [], listMembers: () => members,
 		membership: {self: {id: 'entry-2', incarnation: 'i'}, get: () => undefined, listLiveEntries: () => [lender]} as unknown as Membership,
 		fleet: {connect: () => ({peer})} as unknown as FleetClient,
 	});
@@ -40,7 +40,7 @@
 	async function runRounds(until: number): Promise<void> {
 		for (let at = time.now(); at < until; at += 250) {
 			await time.runUntil(at + 250);
-			await loans.keepUp();
+			await loans.runRound();
 		}
 	}
 
@@ -59,7 +59,7 @@
 	await runRounds(2500);
 	expect(countRepaid()).toBe(0);
 	await runRounds(3500);
-	expect([countRepaid(), holder.countFree(budget)]).toEqual([1, 0]);
+	expect([countRepaid(), holder.countFreeTokens(budget)]).toEqual([1, 0]);
 });
 
 // Guards against an entry daemon that resumes after a pause and refuses its waiting callers, because it has repaid their
@@ -71,8 +71,8 @@
 	await loans.borrow(budget, 100);
 	await runRounds(1000);
 	await time.runUntil(9000);
-	await loans.keepUp();
-	expect([countRepaid(), holder.countFree(budget)]).toEqual([0, 400]);
+	await loans.runRound();
+	expect([countRepaid(), holder.countFreeTokens(budget)]).toEqual([0, 400]);
 	await runRounds(9500);
 	expect(countRepaid()).toBe(0);
 	await runRounds(10_500);
@@ -92,5 +92,5 @@
 	const callsBefore = countBorrowCalls();
 	setLender({isResponding: true, isMember: true});
 	await runRounds(3000);
-	expect([countBorrowCalls() - callsBefore, holder.countFree(budget)]).toEqual([0, 0]);
+	expect([countBorrowCalls() - callsBefore, holder.countFreeTokens(budget)]).toEqual([0, 0]);
 });
--- a/src/coordination/loan-desk.ts
+++ b/src/coordination/loan-manager.ts
@@ -10,7 +10,7 @@
  */
 import {createId, type EventLog, type GrantShare} from '../protocol/mod.js';
 import {
-	sumShares, type GrantHolder, type Member, type Source,
+	sumShares, type GrantHolder, type Member, type TokenSource,
 } from '../state/mod.js';
 import type {Clock, FleetClient} from '../transport/mod.js';
 import type {Membership} from './membership.js';
@@ -39,8 +39,8 @@
 	readonly isComplete: boolean;
 };
 
-/** Options of {@linkcode createLoanDesk}. */
-export type CreateLoanDeskOptions = {
+/** Options of {@linkcode createLoanManager}. */
+export type CreateLoanManagerOptions = {
 	readonly holder: GrantHolder;
 	readonly membership: Membership;
 	readonly fleet: FleetClient;
@@ -48,7 +48,7 @@
 	readonly events: EventLog;
 	readonly listMembers: () => Iterable<Readonly<Member>>;
 	/** Lists the amounts that this daemon's waiting requests need, in tokens. */
-	readonly listWanted: (budget: string) => readonly number[];
+	readonly listWaitingAmounts: (budget: string) => readonly number[];
 };
 
 type GivenLoan = {readonly shares: readonly GrantShare[]; readonly to: string; readonly incarnation: string};
@@ -56,7 +56,7 @@
 type Repayment = {readonly loan: string; readonly lender: string; readonly unspent: readonly GrantShare[]};
 
 /** Manages the loans of one entry daemon. */
-export type LoanDesk = ReturnType<typeof createLoanDesk>;
+export type LoanManager = ReturnType<typeof createLoanManager>;
 
 const callTimeoutMs = 1000;
 const repayAfterIdleMs = 3000;
@@ -77,7 +77,7 @@
  * @param options Grants, peers and connections to them
  * @returns The loan manager
  */
-export function createLoanDesk(options: CreateLoanDeskOptions) {
+export function createLoanManager(options: CreateLoanManagerOptions) {
 	const {
 		holder, membership, fleet, clock, events,
 	} = options;
@@ -107,8 +107,8 @@
 	// When a budget is almost used up, two entry daemons may each have insufficient tokens for a request, but enough together.
 	// If both kept their tokens, both would refuse; so the one whose name sorts later lends all its free tokens.
 	function countLendable(request: LoanRequest): number {
-		const free = holder.countFree(request.budget);
-		const waitingAmounts = options.listWanted(request.budget);
+		const free = holder.countFreeTokens(request.budget);
+		const waitingAmounts = options.listWaitingAmounts(request.budget);
 		const isInsufficient = waitingAmounts.length > 0 && free < Math.min(...waitingAmounts);
 		if (isInsufficient && request.from < membership.self.id) {
 			return free;
@@ -197,8 +197,8 @@
 		}
 	}
 
-	function groupSourcesByLoan(): Map<string, Source[]> {
-		const loans = new Map<string, Source[]>();
+	function groupSourcesByLoan(): Map<string, TokenSource[]> {
+		const loans = new Map<string, TokenSource[]>();
 		for (const budget of holder.listBudgets()) {
 			for (const source of holder.listSources(budget)) {
 				if (source.loan) {
@@ -226,7 +226,7 @@
 				repayments.set(loan, {loan, lender: lender!, unspent});
 				idleMsByLoan.delete(loan);
 				for (const source of sources) {
-					holder.dropLoan(source);
+					holder.removeLoan(source);
 				}
 			}
 		}
@@ -236,11 +236,11 @@
 		/** Answers a peer's loan request; a repeated loan ID gets the same shares. */
 		lend(request: LoanRequest): LoanAnswer {
 			const known = givenLoans.get(request.loan)?.shares ?? (endedLoans.has(request.loan) ? [] : undefined);
-			return {shares: known ?? issueLoan(request), reserved: holder.countReserved(request.budget)};
+			return {shares: known ?? issueLoan(request), reserved: holder.countReservedTokens(request.budget)};
 		},
 
 		/** Accepts a repayment; a repeated one has no effect. */
-		takeRepayment(loan: string, unspent: readonly GrantShare[]): void {
+		acceptRepayment(loan: string, unspent: readonly GrantShare[]): void {
 			const known = givenLoans.get(loan);
 			if (known) {
 				givenLoans.delete(loan);
@@ -250,7 +250,7 @@
 		},
 
 		/** Yields this daemon's grants of which a part is lent to a daemon that matches the predicate. */
-		* findLentTo(isHolder: (daemon: string, incarnation: string) => boolean): Generator<string> {
+		* findGrantsLentTo(isHolder: (daemon: string, incarnation: string) => boolean): Generator<string> {
 			for (const {shares, to, incarnation} of givenLoans.values()) {
 				if (isHolder(to, incarnation)) {
 					yield * shares.map(share => share.grant);
@@ -259,7 +259,7 @@
 		},
 
 		/** Removes the loans to ended incarnations and returns their grants, which must be closed. */
-		listLentTo(isEnded: (daemon: string, incarnation: string) => boolean): Set<string> {
+		removeLoansTo(isEnded: (daemon: string, incarnation: string) => boolean): Set<string> {
 			const grants = new Set<string>();
 			for (const [loan, {shares, to, incarnation}] of givenLoans) {
 				if (isEnded(to, incarnation)) {
@@ -278,7 +278,7 @@
 			let reserved = 0;
 			let isComplete = true;
 			for (const lender of membership.listLiveEntries(options.listMembers())) {
-				const missing = amount - holder.countFree(budget);
+				const missing = amount - holder.countFreeTokens(budget);
 				if (missing <= 0) {
 					break;
 				}
@@ -292,7 +292,7 @@
 		},
 
 		/** Runs one round: repeats unanswered loan requests and repays idle loans. */
-		async keepUp(): Promise<void> {
+		async runRound(): Promise<void> {
 			endIdleLoans(repayAfterIdleMs);
 			await Promise.all([
 				...[...pendingLoans.values()].map(async loan => requestLoan(loan)),
--- a/src/coordination/log-follower.ts
+++ b/src/coordination/log-follower.ts
@@ -27,10 +27,10 @@
 	readonly clock: Clock;
 	readonly events: EventLog;
 	/** How long receipts and runs are kept in the state, in milliseconds. */
-	readonly window: number;
+	readonly windowMs: number;
 	readonly fetchFromPeers: FetchFromPeers;
 	/** How long a read may wait for a new record, in milliseconds; default 2000. */
-	readonly longPoll?: number;
+	readonly longPollMs?: number;
 };
 
 type FollowerEvents = {
@@ -54,7 +54,7 @@
  *
  * @example
  * ```ts
- * const follower = createLogFollower({log, clock, events, window: 3_600_000, fetchFromPeers: async () => undefined});
+ * const follower = createLogFollower({log, clock, events, windowMs: 3_600_000, fetchFromPeers: async () => undefined});
  * void follower.run(signal);
  * await follower.waitUntilReady(signal);
  * ```
@@ -63,10 +63,10 @@
  * @returns The follower
  */
 export function createLogFollower(options: CreateLogFollowerOptions) {
-	const {log, clock, events, window} = options;
-	const longPollMs = options.longPoll ?? defaultLongPollMs;
+	const {log, clock, events, windowMs} = options;
+	const longPollMs = options.longPollMs ?? defaultLongPollMs;
 	const emitter = new Emittery<FollowerEvents>();
-	let state: FleetState = createFleetState({window});
+	let state: FleetState = createFleetState({retentionMs: windowMs});
 	const recentEntries: LogEntry[] = [];
 	let isReady = false;
 	let isLogUp = false;
@@ -96,7 +96,7 @@
 	// Stops at a gap in the offsets; folding past it would make this daemon's state differ from that of its peers.
 	function foldContiguous(entries: readonly LogEntry[]): void {
 		for (const entry of entries) {
-			if (entry.offset > state.next()) {
+			if (entry.offset > state.getNextOffset()) {
 				return;
 			}
 
@@ -106,11 +106,11 @@
 
 	// Ignores a snapshot older than the current state, which would return the configuration to an earlier version.
 	function loadSnapshot(snapshot: FleetSnapshot): void {
-		if (snapshot.next <= state.next()) {
+		if (snapshot.next <= state.getNextOffset()) {
 			return;
 		}
 
-		state = createFleetState({window, snapshot});
+		state = createFleetState({retentionMs: windowMs, snapshot});
 		recentEntries.length = 0;
 		events.write('snapshotLoaded', {next: snapshot.next});
 		void emitter.emit('replaced');
@@ -132,7 +132,7 @@
 
 	// The log no longer keeps the next record: this daemon is new or was down for longer than the retention period.
 	async function recoverFromSnapshot(first: number): Promise<void> {
-		events.write('retentionPassed', {next: state.next(), first});
+		events.write('retentionPassed', {next: state.getNextOffset(), first});
 		const entries = await readAllFrom(first);
 		const newest = entries.map(entry => entry.data as LogRecord)
 			.findLast(record => record.kind === 'snapshot' && (record.state as FleetSnapshot).next >= first);
@@ -143,7 +143,7 @@
 	}
 
 	async function recoverFromPeers(): Promise<void> {
-		const relayed = await options.fetchFromPeers(state.next());
+		const relayed = await options.fetchFromPeers(state.getNextOffset());
 		if (!relayed) {
 			return;
 		}
@@ -153,13 +153,13 @@
 		}
 
 		foldContiguous(relayed.entries);
-		events.write('recordsRelayed', {next: state.next()});
+		events.write('recordsRelayed', {next: state.getNextOffset()});
 		isReady = true;
 	}
 
 	function recordLogState(isUp: boolean): void {
 		if (isUp !== isLogUp) {
-			events.write(isUp ? 'logBack' : 'logLost', {next: state.next()});
+			events.write(isUp ? 'logBack' : 'logLost', {next: state.getNextOffset()});
 		}
 
 		isLogUp = isUp;
@@ -167,12 +167,12 @@
 
 	function foldPage(page: LogPage): void {
 		foldContiguous(page.records);
-		isReady ||= state.next() >= page.next;
+		isReady ||= state.getNextOffset() >= page.next;
 		void emitter.emit('caughtUp');
 	}
 
 	async function readOnce(signal: AbortSignal): Promise<void> {
-		const page = await log.read(state.next(), {wait: isReady && isLogUp ? longPollMs : 0, signal});
+		const page = await log.read(state.getNextOffset(), {wait: isReady && isLogUp ? longPollMs : 0, signal});
 		if (page.ok) {
 			recordLogState(true);
 			foldPage(page.val);
@@ -210,7 +210,7 @@
 
 		/** Reads new records without waiting for more; false if the log does not answer. */
 		async catchUp(): Promise<boolean> {
-			const page = await log.read(state.next());
+			const page = await log.read(state.getNextOffset());
 			if (page.ok) {
 				foldPage(page.val);
 			}
@@ -237,7 +237,7 @@
 
 		/** Returns the records from an offset on for a peer, or a snapshot if this daemon no longer keeps them. */
 		listRecent(from: number): RelayedRecords {
-			const first = recentEntries[0]?.offset ?? state.next();
+			const first = recentEntries[0]?.offset ?? state.getNextOffset();
 			return from >= first
 				? {entries: recentEntries.slice(from - first)}
 				: {entries: [], snapshot: state.buildSnapshot()};
--- a/src/coordination/membership.test.ts
+++ b/src/coordination/membership.test.ts
@@ -17,12 +17,12 @@
 		self: {
 			id: 'entry-1', role: 'entry', incarnation: 'i', isLeaving: false,
 		},
-		fleet: undefined as never, clock: time, events, seeds: [], listMembers: () => [], countNext: () => 0,
+		fleet: undefined as never, clock: time, events, seeds: [], listMembers: () => [], getNextOffset: () => 0,
 		hostList: {
 			fetch: async () => isListUnavailable ? Err(createFailure('internal', 'The host list is unavailable')) : Ok({hosts}),
 			close: async () => undefined,
 		},
-		hostListEvery: 1000, heartbeatEvery: 500, suspectAfter: 1500,
+		hostListIntervalMs: 1000, heartbeatIntervalMs: 500, suspectTimeoutMs: 1500,
 	});
 	void membership.run(stopper.signal);
 	return {
@@ -43,12 +43,12 @@
 	// been unavailable since.
 	const {time, membership, setListUnavailable, stop} = createFixture([{id: 'up-1', state: 'live'}]);
 	await time.runUntil(2000);
-	expect(membership.isGone('up-2')).toBe(true);
+	expect(membership.isMissingFromHostList('up-2')).toBe(true);
 	setListUnavailable(true);
 	await time.runUntil(5000);
-	expect(membership.isGone('up-2')).toBe(true);
+	expect(membership.isMissingFromHostList('up-2')).toBe(true);
 	await time.runUntil(60_000);
-	expect(membership.isGone('up-2')).toBe(false);
+	expect(membership.isMissingFromHostList('up-2')).toBe(false);
 	stop();
 });
 
--- a/src/coordination/membership.ts
+++ b/src/coordination/membership.ts
@@ -55,12 +55,12 @@
 	/** Addresses of peers to contact before the log has named any. */
 	readonly seeds: readonly string[];
 	readonly hostList?: HostListClient;
-	readonly hostListEvery: number;
-	readonly heartbeatEvery: number;
-	readonly suspectAfter: number;
+	readonly hostListIntervalMs: number;
+	readonly heartbeatIntervalMs: number;
+	readonly suspectTimeoutMs: number;
 	/** Lists the members that have joined according to the log. */
 	readonly listMembers: () => Iterable<Readonly<Member>>;
-	readonly countNext: () => number;
+	readonly getNextOffset: () => number;
 };
 
 type MembershipEvents = {
@@ -88,7 +88,7 @@
  */
 export function createMembership(options: CreateMembershipOptions) {
 	const {
-		self, fleet, clock, events, suspectAfter,
+		self, fleet, clock, events, suspectTimeoutMs,
 	} = options;
 	const emitter = new Emittery<MembershipEvents>();
 	const peers = new Map<string, PeerStatus>();
@@ -109,7 +109,7 @@
 
 	function suspectIfOverdue(peer: PeerStatus): void {
 		const since = peer.seenAt ?? peer.knownSince;
-		if (!peer.isSuspected && clock.now() - since > suspectAfter) {
+		if (!peer.isSuspected && clock.now() - since > suspectTimeoutMs) {
 			peer.isSuspected = true;
 			events.write('peerSuspected', {peer: peer.id, address: peer.address});
 			void emitter.emit('changed', peer);
@@ -130,8 +130,8 @@
 		const sentAt = clock.now();
 		try {
 			const answer = await connection.peer.heartbeat({
-				from: self.id, incarnation: self.incarnation, role: self.role, leaving: self.isLeaving, nextOffset: options.countNext(),
-			}, {timeoutMs: suspectAfter});
+				from: self.id, incarnation: self.incarnation, role: self.role, leaving: self.isLeaving, nextOffset: options.getNextOffset(),
+			}, {timeoutMs: suspectTimeoutMs});
 			recordAnswer(peer);
 			peer.id = answer.id;
 			peer.incarnation = answer.incarnation;
@@ -147,7 +147,7 @@
 			peer.isLeaving = answer.leaving;
 		} catch {
 			// A heartbeat that timed out suggests an unresponsive connection; a new one may work.
-			if (clock.now() - sentAt >= suspectAfter) {
+			if (clock.now() - sentAt >= suspectTimeoutMs) {
 				connection.abandon();
 			}
 		}
@@ -158,11 +158,11 @@
 		while (!signal.aborted && peers.get(peer.address) === peer) {
 			const overdueTimer = setInterval(() => {
 				suspectIfOverdue(peer);
-			}, options.heartbeatEvery);
+			}, options.heartbeatIntervalMs);
 			await exchangeHeartbeat(peer);
 			clearInterval(overdueTimer);
 			suspectIfOverdue(peer);
-			await clock.sleep(options.heartbeatEvery, signal);
+			await clock.sleep(options.heartbeatIntervalMs, signal);
 		}
 	}
 
@@ -212,19 +212,19 @@
 				hostStates = new Map(list.val.hosts.map(host => [host.id, host.state]));
 			}
 
-			await clock.sleep(options.hostListEvery, signal);
+			await clock.sleep(options.hostListIntervalMs, signal);
 		}
 	}
 
 	// Ignores an outdated host list. While the host list is unavailable, its last answer may list a host as leaving that
 	// has stayed, and lacks hosts added since, so a daemon that is only cut off would be removed.
 	function getFreshHostStates(): ReadonlyMap<string, 'live' | 'leaving'> | undefined {
-		return clock.now() - hostListRequestedAt <= options.hostListEvery * maxHostListAgeIntervals ? hostStates : undefined;
+		return clock.now() - hostListRequestedAt <= options.hostListIntervalMs * maxHostListAgeIntervals ? hostStates : undefined;
 	}
 
 	async function fetchRecordsFromPeer(peer: PeerStatus, from: number): Promise<RelayedRecords | undefined> {
 		try {
-			const reply = await fleet.connect(peer.address).peer.records({from}, {timeoutMs: suspectAfter});
+			const reply = await fleet.connect(peer.address).peer.records({from}, {timeoutMs: suspectTimeoutMs});
 			return {
 				entries: reply.records.map(record => JSON.parse(record) as LogEntry),
 				snapshot: reply.snapshot ? JSON.parse(reply.snapshot) as FleetSnapshot : undefined,
@@ -257,7 +257,7 @@
 		/** Returns whether the peer or the host list reports that it is leaving. */
 		isLeaving: (id: string): boolean => Boolean(findPeer(id)?.isLeaving) || getFreshHostStates()?.get(id) === 'leaving',
 		/** Returns whether the host list is fresh and does not name the daemon. */
-		isGone(id: string): boolean {
+		isMissingFromHostList(id: string): boolean {
 			const states = getFreshHostStates();
 			return states !== undefined && !states.has(id);
 		},
--- a/src/coordination/metrics.test.ts
+++ b/src/coordination/metrics.test.ts
@@ -6,7 +6,7 @@
 	// configuration changes, because removed routes keep their histograms.
 	const metrics = createMetrics();
 	for (let index = 0; index < 1000; index += 1) {
-		metrics.noteServed({customer: 'c', class: `r${index}`}, {
+		metrics.recordServed({customer: 'c', class: `r${index}`}, {
 			firstMs: 1, totalMs: 1, gapMs: 1, tokens: 1,
 		});
 	}
--- a/src/coordination/metrics.ts
+++ b/src/coordination/metrics.ts
@@ -74,7 +74,7 @@
  *
  * @example
  * ```ts
- * metrics.noteServed({customer: 'city-1', class: 'bed-query'}, {firstMs: 80, totalMs: 900, gapMs: 30, tokens: 210});
+ * metrics.recordServed({customer: 'city-1', class: 'bed-query'}, {firstMs: 80, totalMs: 900, gapMs: 30, tokens: 210});
  * ```
  *
  * @returns The metrics
@@ -110,7 +110,7 @@
 	}
 
 	return {
-		noteServed(labels: MetricLabels, sample: ServedSample): void {
+		recordServed(labels: MetricLabels, sample: ServedSample): void {
 			const item = ensureSeries(labels);
 			item.served += 1;
 			item.tokens += sample.tokens;
@@ -119,7 +119,7 @@
 			recordMs(item.gap, sample.gapMs);
 		},
 
-		noteRefused(labels: MetricLabels, type: FailureType): void {
+		recordRefused(labels: MetricLabels, type: FailureType): void {
 			const {refused} = ensureSeries(labels);
 			refused.set(type, (refused.get(type) ?? 0) + 1);
 		},
@@ -127,7 +127,7 @@
 		listRows,
 
 		/** Formats the metrics in the text format for scrapers. */
-		formatText(): string {
+		formatPrometheusText(): string {
 			const lines: string[] = [];
 			for (const row of listRows()) {
 				const labels = `customer="${row.customer}",class="${row.class}"`;
--- a/src/coordination/model-runner.test.ts
+++ b/src/coordination/model-runner.test.ts
@@ -35,7 +35,7 @@
 	const runner = createModelRunner({
 		engine: engine as EngineClient, reporter: {add: () => undefined} as unknown as ReceiptReporter, clock: time, events,
 	});
-	const request = createRequestTable({bytes: 1000}).open('r1', {
+	const request = createRequestTable({maxAnswerBytes: 1000}).open('r1', {
 		attempt: 1, incarnation: 'i', payloadDigest: '', shares: [{grant: 'g', amount: 100}],
 	});
 	const running = runner.run({
--- a/src/coordination/model-runner.ts
+++ b/src/coordination/model-runner.ts
@@ -12,7 +12,7 @@
 import {
 	createBound, isConnectionRefused, type Clock, type EngineCall, type EngineClient,
 } from '../transport/mod.js';
-import {readLimit} from './engine-limit.js';
+import {readMaxTokens} from './engine-limit.js';
 import type {ReceiptReporter} from './receipt-reporter.js';
 
 /** One model request to run. */
@@ -114,7 +114,7 @@
 	// Resumes a broken stream on a new connection from the next event, without starting a second run.
 	async function readAnswer(work: ModelWork, progress: Progress): Promise<Result<undefined, Failure>> {
 		const {request} = work;
-		const timeout = createBound(work.deadline - clock.now(), [request.stopper.signal]);
+		const timeout = createBound(work.deadline - clock.now(), [request.abortController.signal]);
 		const call: EngineCall = {
 			requestId: request.id, body: Buffer.from(work.payload).toString(), priority: work.priority,
 			signal: timeout.signal,
@@ -126,7 +126,7 @@
 				timeout.clear();
 				return outcome;
 			} catch (error) {
-				if (request.stopper.signal.aborted) {
+				if (request.abortController.signal.aborted) {
 					timeout.clear();
 					void engine.cancel(request.id);
 					return Err(createFailure('answer-cut', 'The request was cancelled', {ran: 'yes'}));
@@ -181,7 +181,7 @@
 		async run(work: ModelWork): Promise<void> {
 			const {request} = work;
 			const progress: Progress = {
-				nextSequence: 0, tokens: 0, maxTokens: readLimit(work.payload), finishReason: 'stop', isOverLimit: false,
+				nextSequence: 0, tokens: 0, maxTokens: readMaxTokens(work.payload), finishReason: 'stop', isOverLimit: false,
 			};
 			const outcome = await readAnswer(work, progress);
 			if (outcome.ok) {
@@ -191,7 +191,7 @@
 
 			// A caller that disconnected is billed for the tokens generated so far. An answer lost through a failure of the
 			// system is not billed.
-			const billed = request.stopper.signal.aborted ? writeReceipt(request, computeCost(progress, sumShares(request.shares))) : [];
+			const billed = request.abortController.signal.aborted ? writeReceipt(request, computeCost(progress, sumShares(request.shares))) : [];
 			request.fail(outcome.val, billed);
 		},
 	};
--- a/src/coordination/news-codec.ts
+++ b/src/coordination/news-codec.ts
@@ -7,7 +7,7 @@
 import {
 	Err, Ok, PeerEntrySchema, PeerNewsSchema, PeerStateSchema, createFailure, type Failure, type PeerEntry, type PeerNews, type Result,
 } from '../protocol/mod.js';
-import type {EntryNumber, PeerView, PlacedPrompt} from '../state/mod.js';
+import type {PeerEntryId, PeerView, PlacedPrompt} from '../state/mod.js';
 
 /** Options of {@linkcode encodeEntry}. */
 export type EncodeEntryOptions = {
@@ -44,7 +44,7 @@
 }
 
 /** @internal */
-function readEntry(entry: EntryNumber & {readonly state: Uint8Array}, known: PeerView | undefined): PeerView {
+function readEntry(entry: PeerEntryId & {readonly state: Uint8Array}, known: PeerView | undefined): PeerView {
 	const {daemon, incarnation} = entry;
 	const {
 		address, uses, version, isLeaving, tellsFree, free, crashes,
@@ -69,7 +69,7 @@
  * @param known What was known of the gateway
  * @returns What it has, or why it cannot be read
  */
-export function decodeEntry(entry: EntryNumber & {readonly state: Uint8Array}, known: PeerView | undefined): Result<PeerView, Failure> {
+export function decodeEntry(entry: PeerEntryId & {readonly state: Uint8Array}, known: PeerView | undefined): Result<PeerView, Failure> {
 	try {
 		return Ok(readEntry(entry, known));
 	} catch (error) {
--- a/src/coordination/peer-news.ts
+++ b/src/coordination/peer-news.ts
@@ -101,7 +101,7 @@
 	}
 
 	function takeEntry(entry: PeerEntry): void {
-		if (entry.daemon === daemon || !views.isNews(entry)) {
+		if (entry.daemon === daemon || !views.isNewer(entry)) {
 			return;
 		}
 
@@ -120,7 +120,7 @@
 
 	// Guards against suspecting everyone after a pause of this process: what was sent meanwhile is read after the first turn.
 	function dropSilent(lateness: number): void {
-		for (const peer of views.dropOlder(clock.now() - rate.viewLife - lateness)) {
+		for (const peer of views.dropStale(clock.now() - rate.viewLife - lateness)) {
 			events.write('peerSuspected', {peer, detail: `Nothing was heard of it for ${rate.viewLife} ms`});
 		}
 	}
--- a/src/coordination/placement-gossip.test.ts
+++ b/src/coordination/placement-gossip.test.ts
@@ -3,7 +3,7 @@
 import type {EventLog, GatewayService, Generation} from '../protocol/mod.js';
 import {createPeerViews, createUpstreamDirectory} from '../state/mod.js';
 import {
-	createPeerCatchUp, createPeerNews, createUpstreamBook, type UpstreamRegistry,
+	createPeerCatchUp, createPeerNews, createUpstreamRegistry, type UpstreamRegistry,
 } from './mod.js';
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
@@ -23,12 +23,12 @@
 	}, 0);
 	const views = createPeerViews();
 	const counts = {datagrams: 0};
-	const registry: UpstreamRegistry = createUpstreamBook({
+	const registry: UpstreamRegistry = createUpstreamRegistry({
 		directory, clock: time, failureDomain: 'd', sumPeerUse: views.sumUse,
-		onUse() {
+		onUseChange() {
 			gossip.noteChange();
 		},
-		onPrompt(prompt) {
+		onPromptPlaced(prompt) {
 			gossip.notePrompt(prompt);
 		},
 	});
@@ -43,7 +43,7 @@
 			gateways.find(gateway => gateway.daemon !== daemon)!.gossip.take(message);
 		},
 		onView: () => undefined,
-		onPrompt: registry.takePrompt,
+		onPrompt: registry.recordPeerPrompt,
 	});
 	return {
 		daemon, registry, views, gossip, counts,
@@ -67,7 +67,7 @@
 }
 
 function countCachedAt(registry: UpstreamRegistry): number {
-	return registry.listCandidates({...request, without: new Set()})[0]!.cachedTokens;
+	return registry.listCandidates({...request, excluded: new Set()})[0]!.cachedTokens;
 }
 
 // Guards against two gateways that send prompts with the same shared part to two upstreams at the same time.
@@ -90,9 +90,9 @@
 	sender.registry.trackRequest('u1', request).end();
 	const catchUp = createPeerCatchUp({
 		clock: time, events, findVersion: () => 1,
-		ask: async () => ({deployment: new Uint8Array(), prompts: sender.registry.listCached(), crashes: []}),
+		ask: async () => ({deployment: new Uint8Array(), prompts: sender.registry.listCachedPrompts(), crashes: []}),
 		onDeployment: () => undefined,
-		onPrompt: receiver.registry.takePrompt,
+		onPrompt: receiver.registry.recordPeerPrompt,
 		onCrashes: () => undefined,
 		abandon: () => undefined,
 	});
@@ -100,7 +100,7 @@
 		daemon: 'sender', incarnation: 'i', address: 'sender', free: [], uses: [], version: 1, isLeaving: false, crashes: [],
 	});
 	await time.runUntil(200);
-	expect(sender.registry.listCached()).toEqual([{upstream: 'u1', memory: 100_000, parts: generation.parts}]);
+	expect(sender.registry.listCachedPrompts()).toEqual([{upstream: 'u1', memory: 100_000, parts: generation.parts}]);
 	expect(countCachedAt(receiver.registry)).toBe(12_000);
 	stopper.abort();
 });
--- a/src/coordination/quarantine-recorder.test.ts
+++ b/src/coordination/quarantine-recorder.test.ts
@@ -2,7 +2,7 @@
 import {createFakeKeyedLog} from '../../tools/harness/fake-keyed-log.js';
 import {createVirtualTime} from '../../tools/measure/virtual-clock.js';
 import type {EventLog} from '../protocol/mod.js';
-import {createCrashBook} from '../state/mod.js';
+import {createCrashRegistry} from '../state/mod.js';
 import {createQuarantine, createQuarantineRecorder, rankByRendezvous} from './mod.js';
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
@@ -11,7 +11,7 @@
 	const time = createVirtualTime();
 	const log = createFakeKeyedLog();
 	const stopper = new AbortController();
-	const book = createCrashBook();
+	const book = createCrashRegistry();
 	const quarantine = createQuarantine({
 		book, daemon, listPeers: () => peers, clock: time, events,
 		onChange: () => undefined,
--- a/src/coordination/quarantine-recorder.ts
+++ b/src/coordination/quarantine-recorder.ts
@@ -11,7 +11,7 @@
  */
 import * as z from 'zod';
 import type {EventLog, KeyedLog, StoredRecord} from '../protocol/mod.js';
-import type {CrashBook, CrashRecord} from '../state/mod.js';
+import type {CrashRegistry, CrashRecord} from '../state/mod.js';
 import type {Clock} from '../transport/mod.js';
 import {sendOnceAfter, type Quarantine} from './quarantine.js';
 import {rankByRendezvous} from './rendezvous.js';
@@ -19,7 +19,7 @@
 /** Options of {@linkcode createQuarantineRecorder}. */
 export type CreateQuarantineRecorderOptions = {
 	readonly log: KeyedLog;
-	readonly book: CrashBook;
+	readonly book: CrashRegistry;
 	readonly quarantine: Pick<Quarantine, 'take'>;
 	/** This gateway's name. */
 	readonly daemon: string;
--- a/src/coordination/quarantine-soak.test.ts
+++ b/src/coordination/quarantine-soak.test.ts
@@ -5,7 +5,7 @@
 import {createRandom} from '../../tools/measure/random.js';
 import {createVirtualTime} from '../../tools/measure/virtual-clock.js';
 import type {EventLog} from '../protocol/mod.js';
-import {createCrashBook, createPeerViews} from '../state/mod.js';
+import {createCrashRegistry, createPeerViews} from '../state/mod.js';
 import {
 	createKeyedFollower, createPeerNews, createQuarantine, createQuarantineRecorder,
 } from './mod.js';
@@ -55,7 +55,7 @@
 		const ended = new AbortController();
 		setMaxListeners(0, ended.signal);
 		const views = createPeerViews();
-		const book = createCrashBook();
+		const book = createCrashRegistry();
 		const listPeers = () => gateways.map(gateway => gateway.name).filter(other => other !== name);
 		const listUp = () => listPeers().filter(peer => news.isPresumedUp(peer));
 		const quarantine = createQuarantine({
@@ -89,7 +89,7 @@
 			log: log.open(), book, quarantine, daemon: name, listPeers: listUp, clock: time, events,
 		});
 		const follower = createKeyedFollower({
-			log: log.open(), clock: time, events, wait: 0, every: readEvery,
+			log: log.open(), clock: time, events, longPollMs: 0, readIntervalMs: readEvery,
 			onRecord(record) {
 				recorder.take(record);
 			},
--- a/src/coordination/quarantine.test.ts
+++ b/src/coordination/quarantine.test.ts
@@ -1,5 +1,5 @@
 import {expect, test} from 'vitest';
-import {createCrashBook, type CrashRecord} from '../state/mod.js';
+import {createCrashRegistry, type CrashRecord} from '../state/mod.js';
 import {createQuarantine, rankByRendezvous} from './mod.js';
 
 const gateways = ['g1', 'g2', 'g3'];
@@ -10,7 +10,7 @@
 function createWorld(daemon = order[0]!) {
 	const world = {now: 0, changes: 0, logged: [] as unknown[]};
 	const quarantine = createQuarantine({
-		book: createCrashBook(), daemon, listPeers: () => gateways.filter(name => name !== daemon),
+		book: createCrashRegistry(), daemon, listPeers: () => gateways.filter(name => name !== daemon),
 		clock: {now: () => world.now, sleep: async () => undefined},
 		events: {
 			write(_event, fields) {
--- a/src/coordination/quarantine.ts
+++ b/src/coordination/quarantine.ts
@@ -18,13 +18,13 @@
 import {
 	Err, Ok, createFailure, type EventLog, type Failure, type Result,
 } from '../protocol/mod.js';
-import type {CrashBook, CrashRecord} from '../state/mod.js';
+import type {CrashRegistry, CrashRecord} from '../state/mod.js';
 import type {Clock} from '../transport/mod.js';
 import {rankByRendezvous} from './rendezvous.js';
 
 /** Options of {@linkcode createQuarantine}. */
 export type CreateQuarantineOptions = {
-	readonly book: CrashBook;
+	readonly book: CrashRegistry;
 	/** This gateway's name. */
 	readonly daemon: string;
 	/** Other gateways that are presumed to be up. */
@@ -130,7 +130,7 @@
 				return Err(refuse(known));
 			}
 
-			book.noteTrial(digest, clock.now());
+			book.recordTrial(digest, clock.now());
 			tell(book.get(digest), 'trial');
 			return Ok(undefined);
 		},
@@ -146,13 +146,13 @@
 			const before = book.get(digest);
 			return {
 				noteCrash(upstream) {
-					if (book.noteCrash(digest, {before, now: clock.now()})) {
+					if (book.recordCrash(digest, {before, now: clock.now()})) {
 						tell(book.get(digest), 'crash', {request, upstream});
 						options.onCrash(digest);
 					}
 				},
 				noteAnswered() {
-					if (book.noteAnswered(digest, clock.now())) {
+					if (book.recordAnswer(digest, clock.now())) {
 						tell(book.get(digest), 'answered', {request});
 					}
 				},
@@ -162,7 +162,7 @@
 		/** Takes what another gateway or the log knows. */
 		take(record: CrashRecord, source: string): void {
 			const wasHeld = isHeld(record.digest);
-			if (!book.take(record, clock.now())) {
+			if (!book.merge(record, clock.now())) {
 				return;
 			}
 
@@ -194,7 +194,7 @@
 
 		/** Lets a request go, for an operator; false if nothing is known against it. */
 		release(digest: string): boolean {
-			const isKnown = book.noteAnswered(digest, clock.now());
+			const isKnown = book.recordAnswer(digest, clock.now());
 			if (isKnown) {
 				tell(book.get(digest), 'released');
 			}
--- a/src/coordination/receipt-reporter.ts
+++ b/src/coordination/receipt-reporter.ts
@@ -8,7 +8,7 @@
 	EventLog, GrantShare, Receipt, RecordOf,
 } from '../protocol/mod.js';
 import {
-	createReceiptBook, formatIncarnation, type ReceiptBook, type RequestTable,
+	createReceiptQueue, formatIncarnationId, type ReceiptQueue, type RequestTable,
 } from '../state/mod.js';
 import type {Clock} from '../transport/mod.js';
 import type {LogFollower} from './log-follower.js';
@@ -24,7 +24,7 @@
 	readonly clock: Clock;
 	readonly events: EventLog;
 	/** Pause between batches, in milliseconds. */
-	readonly every: number;
+	readonly intervalMs: number;
 };
 
 /** Appends receipts and reports to the log. */
@@ -48,7 +48,7 @@
 		self, follower, writer, table, clock, events,
 	} = options;
 	// Receipts belong to the incarnation that accepted the request; those of an ended incarnation come too late to be billed.
-	const receiptsByIncarnation = new Map<string, ReceiptBook>();
+	const receiptsByIncarnation = new Map<string, ReceiptQueue>();
 	const fencedGrants = new Set<string>();
 	let isReporting = false;
 
@@ -56,20 +56,20 @@
 		return follower.state().placement.isCurrent(self.id, incarnation);
 	}
 
-	function ensureReceipts(incarnation: string): ReceiptBook {
-		const receipts = receiptsByIncarnation.get(incarnation) ?? createReceiptBook();
+	function ensureReceipts(incarnation: string): ReceiptQueue {
+		const receipts = receiptsByIncarnation.get(incarnation) ?? createReceiptQueue();
 		receiptsByIncarnation.set(incarnation, receipts);
 		return receipts;
 	}
 
-	async function flushIncarnation(incarnation: string, pending: ReceiptBook): Promise<boolean> {
+	async function flushIncarnation(incarnation: string, pending: ReceiptQueue): Promise<boolean> {
 		for (let batch = pending.peek(); batch; batch = pending.peek()) {
 			const {sequence} = batch;
 			const record: RecordOf<'receipts'> = {
 				kind: 'receipts', sequence, daemon: self.id, incarnation, receipts: [...batch.receipts],
 			};
 			const result = await writer.commit(record, {
-				isFolded: state => !isCurrent(incarnation) || state.ledger.findLastBatch(formatIncarnation(self.id, incarnation)) >= sequence,
+				isFolded: state => !isCurrent(incarnation) || state.ledger.findLastBatchSequence(formatIncarnationId(self.id, incarnation)) >= sequence,
 				signal: AbortSignal.timeout(appendTimeoutMs),
 			});
 			if (result.err) {
@@ -99,7 +99,7 @@
 	}
 
 	function listDueReports(): string[] {
-		const ownKey = formatIncarnation(self.id, self.incarnation);
+		const ownKey = formatIncarnationId(self.id, self.incarnation);
 		const dueGrants: string[] = [];
 		for (const grant of follower.state().ledger.listGrants()) {
 			if (grant.waitsFor?.includes(ownKey)) {
@@ -121,7 +121,7 @@
 			return;
 		}
 
-		const ownKey = formatIncarnation(self.id, self.incarnation);
+		const ownKey = formatIncarnationId(self.id, self.incarnation);
 		await writer.commit({
 			kind: 'report', grants: dueGrants, daemon: self.id, incarnation: self.incarnation,
 		}, {
@@ -153,21 +153,21 @@
 		 * A holder that was paused while its grant was closed still uses it;
 		 * its request would spend tokens that other daemons now hold.
 		 */
-		findFenced(shares: readonly GrantShare[], knownOffset: number): string | undefined {
-			const {ledger, next} = follower.state();
+		findFencedGrant(shares: readonly GrantShare[], knownOffset: number): string | undefined {
+			const {ledger, getNextOffset} = follower.state();
 			return shares.find(({grant}) => {
 				const grantState = ledger.findGrant(grant);
-				const hasEnded = !grantState && next() >= knownOffset;
+				const hasEnded = !grantState && getNextOffset() >= knownOffset;
 				return fencedGrants.has(grant) || Boolean(grantState?.waitsFor) || hasEnded;
 			})?.grant;
 		},
 
 		flush,
-		countWaiting: () => [...receiptsByIncarnation.values()].reduce((total, receipts) => total + receipts.count(), 0),
+		countUnreported: () => [...receiptsByIncarnation.values()].reduce((total, receipts) => total + receipts.count(), 0),
 
 		async run(signal: AbortSignal): Promise<void> {
 			while (!signal.aborted) {
-				await Promise.all([runRound(), clock.sleep(options.every, signal)]);
+				await Promise.all([runRound(), clock.sleep(options.intervalMs, signal)]);
 			}
 		},
 	};
--- a/src/coordination/reclaimer.ts
+++ b/src/coordination/reclaimer.ts
@@ -24,7 +24,7 @@
 	readonly clock: Clock;
 	readonly events: EventLog;
 	/** Returns true if a request at this daemon recently lacked tokens of the budget. */
-	readonly isShort: (budget: string) => boolean;
+	readonly wasInsufficient: (budget: string) => boolean;
 	/** Returns the own grants that are partly lent to an incarnation that matches the predicate. */
 	readonly findLentTo: (isHolder: (daemon: string, incarnation: string) => boolean) => Iterable<string>;
 };
@@ -54,7 +54,7 @@
 	// A daemon that is gone from the host list is ended by one live entry daemon; if a second one tries too, the order of the
 	// log makes that harmless. A daemon that is only suspected is ended by any daemon that needs its tokens.
 	function isResponsible(daemon: string): boolean {
-		if (!membership.isGone(daemon)) {
+		if (!membership.isMissingFromHostList(daemon)) {
 			return true;
 		}
 
@@ -67,21 +67,21 @@
 		const isUnresponsive = peer !== undefined && peer.isSuspected && peer.incarnation === member.incarnation;
 		// Ending an upstream daemon abandons receipts that it has not appended, so it must be gone from the host list too. An
 		// entry daemon that is only cut off still serves callers from its grants, which are reclaimed when others need them.
-		return isUnresponsive && (membership.isGone(member.daemon) || (member.role === 'entry' && hasNeededTokens(member)));
+		return isUnresponsive && (membership.isMissingFromHostList(member.daemon) || (member.role === 'entry' && hasNeededTokens(member)));
 	}
 
 	// Returns true if the member holds tokens that this daemon lacks, in grants of its own or in loans from this daemon.
 	function hasNeededTokens(member: Readonly<Member>): boolean {
 		const {ledger} = follower.state();
 		for (const grant of ledger.listGrants()) {
-			if (grant.daemon === member.daemon && grant.incarnation === member.incarnation && options.isShort(grant.budget)) {
+			if (grant.daemon === member.daemon && grant.incarnation === member.incarnation && options.wasInsufficient(grant.budget)) {
 				return true;
 			}
 		}
 
 		for (const id of options.findLentTo((daemon, incarnation) => daemon === member.daemon && incarnation === member.incarnation)) {
 			const grant = ledger.findGrant(id);
-			if (grant && options.isShort(grant.budget)) {
+			if (grant && options.wasInsufficient(grant.budget)) {
 				return true;
 			}
 		}
--- a/src/coordination/relayed-log.test.ts
+++ b/src/coordination/relayed-log.test.ts
@@ -4,7 +4,7 @@
 import {
 	Err, createFailure, type EventLog, type KeyedLog,
 } from '../protocol/mod.js';
-import {createDirectPath, createKeyedFollower, createRelayedLog} from './mod.js';
+import {createStorePathTracker, createKeyedFollower, createRelayedLog} from './mod.js';
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
 
@@ -40,10 +40,10 @@
 			read: async (from, options) => (isDirectPathCut ? cutStore.open() : direct).read(from, options),
 			append: async (record, options) => (isDirectPathCut ? cutStore.open() : direct).append(record, options),
 		},
-		path: createDirectPath({clock, events}),
+		pathTracker: createStorePathTracker({clock, events}),
 		clock,
 		listRelays: () => ['cut', 'healthy'],
-		openThrough(address) {
+		openRelayedLog(address) {
 			reachedPaths.push(address);
 			return address === 'healthy' ? store.open() : cutStore.open();
 		},
@@ -135,7 +135,7 @@
 	const store = createFakeKeyedLog();
 	const known = new Set<string>();
 	const follower = createKeyedFollower({
-		log: store.open(), clock: {now: () => 0, sleep: async () => undefined}, events, wait: 0, every: 0, listKeys: () => [...known],
+		log: store.open(), clock: {now: () => 0, sleep: async () => undefined}, events, longPollMs: 0, readIntervalMs: 0, listKnownKeys: () => [...known],
 		onRecord({key, value}) {
 			if (value === undefined) {
 				known.delete(key);
@@ -166,9 +166,9 @@
 	const unresponsive = new Set<string>();
 	const noAnswer = createFailure('log-unavailable', 'No answer');
 	const log = createRelayedLog({
-		direct: openPath('direct', 1000), path: createDirectPath({clock: time, events}), clock: time,
+		direct: openPath('direct', 1000), pathTracker: createStorePathTracker({clock: time, events}), clock: time,
 		listRelays: () => [...relays],
-		openThrough: address => openPath(address, 1200),
+		openRelayedLog: address => openPath(address, 1200),
 	});
 
 	function openPath(name: string, timeoutMs: number): KeyedLog {
@@ -249,10 +249,10 @@
 	};
 	const log = createRelayedLog({
 		direct: cutOffLog,
-		path: createDirectPath({clock: time, events}),
+		pathTracker: createStorePathTracker({clock: time, events}),
 		clock: time,
 		listRelays: () => ['a', 'b', 'c', 'd'],
-		openThrough() {
+		openRelayedLog() {
 			relayCallTimes.push(time.now());
 			return cutOffLog;
 		},
--- a/src/coordination/relayed-log.ts
+++ b/src/coordination/relayed-log.ts
@@ -15,20 +15,20 @@
 import {waitAtMost, type Clock} from '../transport/mod.js';
 
 /** Tracks whether the direct path to the store works and which relays reach it; shared by all logs of a daemon. */
-export type StorePathTracker = ReturnType<typeof createDirectPath>;
+export type StorePathTracker = ReturnType<typeof createStorePathTracker>;
 
 /** Options of {@linkcode createRelayedLog}. */
 export type CreateRelayedLogOptions = {
 	readonly direct: KeyedLog;
-	readonly path: StorePathTracker;
+	readonly pathTracker: StorePathTracker;
 	readonly clock: Clock;
 	/** Lists the addresses of daemons that may reach the store, nearest first. */
 	readonly listRelays: () => string[];
 	/** Opens the same log through the daemon at an address. */
-	readonly openThrough: (address: string) => KeyedLog;
+	readonly openRelayedLog: (address: string) => KeyedLog;
 };
 
-/** Options of {@linkcode createDirectPath}. */
+/** Options of {@linkcode createStorePathTracker}. */
 export type CreateStorePathTrackerOptions = {readonly clock: Clock; readonly events: EventLog};
 
 /** Interval of the direct calls that check whether the direct path works again. */
@@ -59,13 +59,13 @@
  *
  * @example
  * ```ts
- * const path = createDirectPath({clock, events});
+ * const path = createStorePathTracker({clock, events});
  * ```
  *
  * @param options The clock and the event log
  * @returns The tracker
  */
-export function createDirectPath(options: CreateStorePathTrackerOptions) {
+export function createStorePathTracker(options: CreateStorePathTrackerOptions) {
 	const {clock, events} = options;
 	let lastProbeAt = Number.NEGATIVE_INFINITY;
 	let isUp = true;
@@ -172,20 +172,20 @@
  * @returns The log
  */
 export function createRelayedLog(options: CreateRelayedLogOptions): KeyedLog {
-	const {direct, path, clock} = options;
+	const {direct, pathTracker, clock} = options;
 
 	async function callDirect<Value>({run, hasReachedStore}: StoreCall<Value>): Promise<Value> {
 		const value = await run(direct);
-		path.recordState(hasReachedStore(value));
+		pathTracker.recordState(hasReachedStore(value));
 		return value;
 	}
 
 	async function callRelay<Value>(relay: string, {run, hasReachedStore}: StoreCall<Value>): Promise<Value> {
-		const value = await run(options.openThrough(relay));
+		const value = await run(options.openRelayedLog(relay));
 		if (hasReachedStore(value)) {
-			path.recordRelaySuccess(relay);
+			pathTracker.recordRelaySuccess(relay);
 		} else {
-			path.recordRelayFailure(relay);
+			pathTracker.recordRelayFailure(relay);
 		}
 
 		return value;
@@ -196,11 +196,11 @@
 	// value of the first relay if no relay reached the store, and with undefined if there is no relay.
 	async function callRelays<Value>(call: StoreCall<Value>): Promise<Value | undefined> {
 		const calls: Array<Promise<Value>> = [];
-		for (const relay of path.selectRelays(options.listRelays())) {
+		for (const relay of pathTracker.selectRelays(options.listRelays())) {
 			calls.push(callRelay(relay, call));
 			const earlyValue = await waitAtMost(resolveFirstReached(calls, call.hasReachedStore), {clock, span: relayHedgeDelayMs + (call.longPollMs ?? 0)});
 			if (earlyValue !== undefined && call.hasReachedStore(earlyValue)) {
-				path.recordRelayedCall(true);
+				pathTracker.recordRelayedCall(true);
 				return earlyValue;
 			}
 		}
@@ -210,7 +210,7 @@
 		}
 
 		const value = await resolveFirstReached(calls, call.hasReachedStore);
-		path.recordRelayedCall(call.hasReachedStore(value));
+		pathTracker.recordRelayedCall(call.hasReachedStore(value));
 		return value;
 	}
 
@@ -226,7 +226,7 @@
 		const relayedCall = (async () => {
 			const value = await callRelays(call);
 			if (value !== undefined && call.hasReachedStore(value) && !isDirectDone) {
-				path.recordState(false);
+				pathTracker.recordState(false);
 			}
 
 			return value ?? pending;
@@ -243,8 +243,8 @@
 
 	async function callStore<Value>(call: StoreCall<Value>): Promise<Value> {
 		const maxWaitMs = hedgeDelayMs + (call.longPollMs ?? 0);
-		const wasDirectUp = path.isUp();
-		if (!path.admitCall()) {
+		const wasDirectUp = pathTracker.isUp();
+		if (!pathTracker.admitCall()) {
 			const pending = callRelays(call);
 			const earlyValue = await waitAtMost(pending, {clock, span: maxWaitMs});
 			return earlyValue !== undefined && call.hasReachedStore(earlyValue) ? earlyValue : hedgeWithDirect(call, pending);
--- a/src/coordination/upstream-desk.ts
+++ b/src/coordination/request-executor.ts
@@ -7,7 +7,7 @@
 import {
 	Err, Ok, Work, createFailure, type EventLog, type Failure, type GrantShare, type Result, type RunRequest,
 } from '../protocol/mod.js';
-import {formatIncarnation, type RequestTable, type TrackedRequest} from '../state/mod.js';
+import {formatIncarnationId, type RequestTable, type TrackedRequest} from '../state/mod.js';
 import type {Clock} from '../transport/mod.js';
 import {createChangeWaiter} from './change-waiter.js';
 import type {LogFollower} from './log-follower.js';
@@ -17,7 +17,7 @@
 import type {RunPermit, ServiceRunner} from './service-runner.js';
 import type {WorkQueue} from './work-queue.js';
 
-/** Options of {@linkcode createUpstreamDesk}. */
+/** Options of {@linkcode createRequestExecutor}. */
 export type CreateRequestExecutorOptions = {
 	readonly self: Self;
 	readonly table: RequestTable;
@@ -50,7 +50,7 @@
 };
 
 /** Executes requests on an upstream daemon. */
-export type UpstreamDesk = ReturnType<typeof createUpstreamDesk>;
+export type RequestExecutor = ReturnType<typeof createRequestExecutor>;
 
 const heldElsewhereRetryAfterMs = 1000;
 
@@ -66,7 +66,7 @@
 	}
 
 	return createFailure('outcome-unknown', `The log assigns the request to upstream daemon "${permit.run.daemon}"`, {
-		ran: 'unknown', retryAfterMs: heldElsewhereRetryAfterMs, heldBy: formatIncarnation(permit.run.daemon, permit.run.incarnation),
+		ran: 'unknown', retryAfterMs: heldElsewhereRetryAfterMs, heldBy: formatIncarnationId(permit.run.daemon, permit.run.incarnation),
 	});
 }
 
@@ -81,7 +81,7 @@
  * @param options The daemon's request table, queue, runners and log
  * @returns The request executor
  */
-export function createUpstreamDesk(options: CreateRequestExecutorOptions) {
+export function createRequestExecutor(options: CreateRequestExecutorOptions) {
 	const {
 		self, table, queue, follower, reporter, clock, events,
 	} = options;
@@ -106,7 +106,7 @@
 			return createFailure('grant-closed', `Attempt ${run.attempt} was abandoned before it started`);
 		}
 
-		const grant = reporter.findFenced(run.shares, run.knownOffset);
+		const grant = reporter.findFencedGrant(run.shares, run.knownOffset);
 		return grant === undefined ? undefined : createFailure('grant-closed', `Grant "${grant}" is closed`);
 	}
 
@@ -132,7 +132,7 @@
 		if (finalOutcome && request.failure?.ran !== 'no') {
 			table.close(request);
 		} else {
-			table.forget(request);
+			table.remove(request);
 		}
 	}
 
@@ -165,7 +165,7 @@
 
 		const deadline = clock.now() + run.remainingMs;
 		if (!service.idempotent) {
-			const permit = await options.services!.obtainRight(run.requestId, service);
+			const permit = await options.services!.obtainPermit(run.requestId, service);
 			if (permit.kind !== 'mine') {
 				return Err(createPermitFailure(permit));
 			}
@@ -329,7 +329,7 @@
 		cancel(requestId: string, attempt: number): void {
 			const lookup = table.get(requestId);
 			if (lookup.kind === 'tracked' && lookup.request.attempt === attempt) {
-				lookup.request.stopper.abort();
+				lookup.request.abortController.abort();
 			}
 		},
 	};
--- a/src/coordination/request-forwarder.test.ts
+++ b/src/coordination/request-forwarder.test.ts
@@ -3,10 +3,10 @@
 import {
 	Err, Ok, createFailure, type EventLog, type Failure, type GatewayWire, type Route, type UpstreamEntry,
 } from '../protocol/mod.js';
-import {createCrashBook, createUpstreamDirectory} from '../state/mod.js';
+import {createCrashRegistry, createUpstreamDirectory} from '../state/mod.js';
 import {createSystemClock, type CallFailure, type UpstreamCall} from '../transport/mod.js';
 import {
-	createQuarantine, createRequestForwarder, createRetryBudget, createUpstreamBook, type ForwardRequest,
+	createQuarantine, createRequestForwarder, createRetryBudget, createUpstreamRegistry, type ForwardRequest,
 } from './mod.js';
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
@@ -44,7 +44,7 @@
 
 	const crashed = new Set<string>();
 	const quarantine = createQuarantine({
-		book: createCrashBook(), daemon: 'g', listPeers: () => [], clock, events, onChange: () => undefined, onCrash: () => undefined,
+		book: createCrashRegistry(), daemon: 'g', listPeers: () => [], clock, events, onChange: () => undefined, onCrash: () => undefined,
 	});
 	const calls: UpstreamCall[] = [];
 	const received = {
@@ -70,12 +70,12 @@
 
 	const forwarder = createRequestForwarder({
 		wire, clock, events,
-		book: createUpstreamBook({
+		registry: createUpstreamRegistry({
 			directory, clock, failureDomain: 'd', sumPeerUse: upstream => ({upstream, inFlight: 0, waitingTokens: 0}),
 		}),
-		findRetries: () => retries,
+		findRetryBudget: () => retries,
 		quarantine,
-		crashes: {hasCrashed: async ({id}) => crashed.has(id)},
+		crashDetector: {hasCrashed: async ({id}) => crashed.has(id)},
 		client: {
 			async call(call) {
 				calls.push(call);
@@ -92,7 +92,7 @@
 			close: async () => undefined,
 		},
 	});
-	const retries = createRetryBudget({share: 0.2, burst: 10});
+	const retries = createRetryBudget({ratio: 0.2, burst: 10});
 
 	async function forward(route: Partial<Route>, deadline = 5000) {
 		const callerGone = new AbortController();
@@ -103,7 +103,7 @@
 				id: 'r', host: 'h', prefix: '/', kind: 'stream', timeout: deadline, objective: 300, priority: 0, isOpen: true, attempts: 2, isResumable: false, targets: [{service: 's', weight: 1}], ...route,
 			},
 			service: {id: 's', connectionLimit: 10},
-			customer: undefined, priority: 0, method: 'POST', path: '/', rawHeaders: [], body: undefined, generation: undefined, lastEvent: undefined,
+			customer: undefined, priority: 0, method: 'POST', path: '/', rawHeaders: [], body: undefined, generation: undefined, lastEventId: undefined,
 			startedAt: clock.now(), deadline: clock.now() + deadline, signal: callerGone.signal,
 			answer: {
 				hasStarted: () => received.status > 0,
@@ -117,7 +117,7 @@
 					received.body += Buffer.from(bytes ?? []).toString();
 					received.hasEnded = true;
 				},
-				cut() {
+				abort() {
 					received.isCut = true;
 				},
 				refuse(failure) {
@@ -216,7 +216,7 @@
 
 test('retries after a send to a wrong address use up the retry budget', async () => {
 	const fixture = createFixture(Array.from({length: 9}, () => ({status: 421, headers: {'not-run': '1'}, chunks: []})));
-	while (fixture.retries.take()) {
+	while (fixture.retries.tryWithdraw()) {
 		// Exhausts the retry budget.
 	}
 
@@ -283,7 +283,7 @@
 	const fixture = createFixture(Array.from({length: 9}, () => ({status: 500, chunks: ['x']})));
 	await fixture.forward({kind: 'idempotent', attempts: 2});
 	expect(fixture.calls.length).toBe(2);
-	while (fixture.retries.take()) {
+	while (fixture.retries.tryWithdraw()) {
 		// Exhausts the retry budget.
 	}
 
--- a/src/coordination/request-forwarder.ts
+++ b/src/coordination/request-forwarder.ts
@@ -15,7 +15,7 @@
 import {
 	StreamAnswerRelay, BufferedAnswerRelay, type AnswerRelay, type RelayOutcome,
 } from './answer-relay.js';
-import type {CrashDetector} from './crash-watch.js';
+import type {CrashDetector} from './crash-detector.js';
 import type {ForwardReport, ForwardRequest, ForwardResult} from './forward-types.js';
 import type {Quarantine} from './quarantine.js';
 import type {RetryBudget} from './retry-budget.js';
@@ -23,17 +23,17 @@
 import {
 	LeastRunningPolicy, PromptPlacementPolicy, ServicePlacementPolicy, type PlacementCandidate, type PlacementPolicy,
 } from './placement-policy.js';
-import type {UpstreamRegistry, UpstreamRequestTracker} from './upstream-book.js';
+import type {UpstreamRegistry, UpstreamRequestTracker} from './upstream-registry.js';
 
 /** Options of {@linkcode createRequestForwarder}. */
 export type CreateRequestForwarderOptions = {
 	readonly wire: GatewayWire;
 	readonly client: UpstreamClient;
-	readonly book: UpstreamRegistry;
+	readonly registry: UpstreamRegistry;
 	/** Returns the retry budget of a service. */
-	readonly findRetries: (service: string) => RetryBudget;
+	readonly findRetryBudget: (service: string) => RetryBudget;
 	readonly quarantine: Pick<Quarantine, 'begin' | 'isSuspected' | 'maySendOn'>;
-	readonly crashes: CrashDetector;
+	readonly crashDetector: CrashDetector;
 	readonly clock: Clock;
 	readonly events: EventLog;
 };
@@ -78,7 +78,7 @@
  */
 export function createRequestForwarder(options: CreateRequestForwarderOptions) {
 	const {
-		wire, client, book, findRetries, quarantine, crashes, clock, events,
+		wire, client, registry, findRetryBudget, quarantine, crashDetector, clock, events,
 	} = options;
 
 	const suspectPolicy: PlacementPolicy = new LeastRunningPolicy();
@@ -99,7 +99,7 @@
 
 	function pickUpstream(request: ForwardRequest, tried: ReadonlySet<string>): PlacementCandidate | undefined {
 		const {service, generation} = request;
-		const candidates = book.listCandidates({service, generation, without: tried});
+		const candidates = registry.listCandidates({service, generation, excluded: tried});
 		const policy = findPolicy(request);
 		return candidates.length === 0 ? undefined : policy.pick({id: request.id ?? '', generation}, candidates);
 	}
@@ -183,12 +183,12 @@
 
 	async function sendTo(state: ForwardingState, id: string): Promise<SendOutcome> {
 		const {request, relay, progress} = state;
-		const upstream = book.get(id);
+		const upstream = registry.get(id);
 		if (!upstream) {
 			return {kind: 'not-run', detail: 'The upstream is no longer registered', reached: 'none'};
 		}
 
-		const tracker = book.trackRequest(id, request);
+		const tracker = registry.trackRequest(id, request);
 		const trackedRun = quarantine.begin(request.digest, request.id);
 		const stallTimeout = createStallTimeout(request, relay);
 		const remaining = request.deadline - clock.now();
@@ -204,7 +204,7 @@
 				body: request.body,
 				signal: timeLimit.signal,
 				isAlone: !relay.canRetry(),
-				isStillWanted: () => book.isLive(id),
+				isStillWanted: () => registry.isLive(id),
 			});
 			const outcome = called.ok ? await receive(state, called.val, {tracker, onProgress: stallTimeout.recordProgress}) : classifyCallFailure(called.val, progress);
 			if (outcome.kind === 'broken' && !request.signal.aborted) {
@@ -218,7 +218,7 @@
 			}
 
 			// The quarantine must know of the crash before the request is sent to another upstream.
-			if (outcome.kind === 'broken' && outcome.wasConnectionLost && !timeLimit.signal.aborted && await crashes.hasCrashed(upstream)) {
+			if (outcome.kind === 'broken' && outcome.wasConnectionLost && !timeLimit.signal.aborted && await crashDetector.hasCrashed(upstream)) {
 				trackedRun.noteCrash(id);
 			}
 
@@ -259,7 +259,7 @@
 	function finishUnanswered(state: ForwardingState, detail: string): ForwardReport {
 		const {request, progress} = state;
 		if (request.answer.hasStarted()) {
-			request.answer.cut();
+			request.answer.abort();
 			return buildReport(state, 'cut', detail);
 		}
 
@@ -272,7 +272,7 @@
 		/** Forwards a request. When the promise resolves, the caller has received its final answer. */
 		async forward(request: ForwardRequest): Promise<ForwardReport> {
 			const relay = createRelay(request);
-			const retryBudget = findRetries(request.service.id);
+			const retryBudget = findRetryBudget(request.service.id);
 			const progress: ForwardProgress = {
 				sends: 0, mayHaveRun: false, upstream: undefined, firstMs: undefined, waitingTokens: undefined, cachedTokens: undefined, isOnGrace: undefined, viewMs: undefined,
 			};
@@ -281,11 +281,11 @@
 			let deliveries = 0;
 			let deliverFailure: (() => void) | undefined;
 			let detail = 'No live upstream is registered for the service';
-			retryBudget.earn();
+			retryBudget.deposit();
 			for (;;) {
 				const candidate = pickUpstream(request, tried);
 				const isFirst = deliveries === 0;
-				if (candidate === undefined || request.deadline - clock.now() < minRemainingMs || progress.sends >= request.route.attempts || !(isFirst || retryBudget.take())) {
+				if (candidate === undefined || request.deadline - clock.now() < minRemainingMs || progress.sends >= request.route.attempts || !(isFirst || retryBudget.tryWithdraw())) {
 					break;
 				}
 
@@ -295,7 +295,7 @@
 				progress.waitingTokens = candidate.waitingTokens;
 				progress.cachedTokens = candidate.cachedTokens;
 				progress.isOnGrace = candidate.isOnGrace;
-				progress.viewMs = book.getViewAgeMs();
+				progress.viewMs = registry.getViewAgeMs();
 				const outcome = await sendTo(state, id);
 				// The route limits how many upstreams may run a request, so a refused connection or another upstream at the address
 				// does not count as a send. The retry budget limits deliveries, which include those to another upstream at the address.
--- a/src/coordination/request-router.test.ts
+++ b/src/coordination/request-router.test.ts
@@ -28,13 +28,13 @@
 	const router = createRequestRouter({
 		follower: {state: () => ({placement: {get: (daemon: string) => ({daemon})}, runs: {get: () => undefined}}), isLogUp: () => true} as unknown as LogFollower,
 		attempts,
-		book: {
+		routes: {
 			listCandidates: (_target: string, tried: ReadonlySet<string>) => daemons.filter(daemon => !tried.has(daemon)).map(daemon => ({daemon})),
 			recordStart: () => undefined,
 			recordEnd: () => undefined,
 		} as unknown as RouteRegistry,
 		policy: {pick: (_query: unknown, candidates: ReadonlyArray<{daemon: string}>) => candidates[0]} as unknown as RoutingPolicy,
-		retries: createRetryBudget({share: 0.2, burst: 10}), clock: time, events, resumeWithin: 1000,
+		retries: createRetryBudget({ratio: 0.2, burst: 10}), clock: time, events, upstreamWaitMs: 1000,
 	});
 	const call: RoutedCall = {
 		requestId: 'r1', isKeyed: false, work: 1, target: 'm', mayRepeat: true, budget: 'b', worstCase: 10, priority: 0, payload: new Uint8Array(), prefix: '', deadline: 60_000, patience: 1000,
--- a/src/coordination/request-router.ts
+++ b/src/coordination/request-router.ts
@@ -15,20 +15,20 @@
 import type {LogFollower} from './log-follower.js';
 import {rankByRendezvous} from './rendezvous.js';
 import type {RetryBudget} from './retry-budget.js';
-import type {RouteRegistry} from './route-book.js';
+import type {RouteRegistry} from './route-registry.js';
 import type {RoutingPolicy} from './routing-policy.js';
 
 /** Options of {@linkcode createRequestRouter}. */
 export type CreateRequestRouterOptions = {
 	readonly follower: LogFollower;
 	readonly attempts: AttemptRunner;
-	readonly book: RouteRegistry;
+	readonly routes: RouteRegistry;
 	readonly policy: RoutingPolicy;
 	readonly retries: RetryBudget;
 	readonly clock: Clock;
 	readonly events: EventLog;
 	/** Longest wait for an upstream daemon when none is reachable, in milliseconds. */
-	readonly resumeWithin: number;
+	readonly upstreamWaitMs: number;
 };
 
 /** Outcome of one attempt, and the number of chunks received. */
@@ -60,7 +60,7 @@
  */
 export function createRequestRouter(options: CreateRequestRouterOptions) {
 	const {
-		follower, attempts, book: routes, policy, retries, clock, events,
+		follower, attempts, routes: routes, policy, retries, clock, events,
 	} = options;
 
 	function findMember(daemon: string): Readonly<Member> | undefined {
@@ -89,7 +89,7 @@
 	}
 
 	function mayRetryElsewhere(call: RoutedCall, outcome: AttemptOutcome, chunks: number): boolean {
-		const wasDelivered = chunks > 0 && call.restart === undefined;
+		const wasDelivered = chunks > 0 && call.discardChunks === undefined;
 		if (outcome.kind === 'done' || wasDelivered || call.signal.aborted || clock.now() >= call.deadline) {
 			return false;
 		}
@@ -121,7 +121,7 @@
 	// All upstream daemons can become unresponsive at once, for example while a network switch is replaced. Heartbeats
 	// find working connections again within their time limit, so the router waits for an upstream instead of failing at once.
 	async function waitForMember(call: RoutedCall, tried: Set<string>, last: Failure | undefined): Promise<Readonly<Member> | undefined> {
-		const until = Math.min(call.deadline, clock.now() + options.resumeWithin);
+		const until = Math.min(call.deadline, clock.now() + options.upstreamWaitMs);
 		for (;;) {
 			const member = pickMember(call, tried);
 			const isWaitUseless = last !== undefined && last.type !== 'no-upstream' && last.type !== 'answer-cut';
@@ -193,9 +193,9 @@
 			let last: Failure | undefined;
 			let mayHaveRun = false;
 			let cutAnswers = 0;
-			retries.earn();
+			retries.deposit();
 			for (let isFirst = true; ; isFirst = false) {
-				if (!isFirst && last?.heldBy === undefined && !retries.take()) {
+				if (!isFirst && last?.heldBy === undefined && !retries.tryWithdraw()) {
 					return Err(preserveUnknownOutcome(call, last ?? createFailure('overloaded', 'The retry budget is used up', {retryAfterMs}), mayHaveRun));
 				}
 
@@ -233,7 +233,7 @@
 					return Err(holderFailure);
 				}
 
-				call.restart?.();
+				call.discardChunks?.();
 				events.write('requestRetried', {request: call.requestId, after: last.type, upstream: member.daemon});
 			}
 		},
--- a/src/coordination/retry-after-estimator.test.ts
+++ b/src/coordination/retry-after-estimator.test.ts
@@ -1,10 +1,10 @@
 import {expect, test} from 'vitest';
 import type {PeerView} from '../state/mod.js';
-import {createReturnForecast} from './return-forecast.js';
+import {createRetryAfterEstimator} from './retry-after-estimator.js';
 
 function createFixture() {
 	const state = {now: 1000};
-	const forecast = createReturnForecast({clock: {now: () => state.now, sleep: async () => undefined}, findStopSpan: () => 7300});
+	const forecast = createRetryAfterEstimator({clock: {now: () => state.now, sleep: async () => undefined}, findMaxStopMs: () => 7300});
 	return {state, forecast};
 }
 
@@ -18,10 +18,10 @@
 	const {forecast} = createFixture();
 	const views = [buildView('a', {isLeaving: true}), buildView('b', {isLeaving: false})];
 	for (const view of views) {
-		forecast.note(view);
+		forecast.recordView(view);
 	}
 
-	expect(forecast.estimate(views, {ownLeft: 4000})).toBe(100);
+	expect(forecast.estimate(views, {ownRemainingMs: 4000})).toBe(100);
 });
 
 test('a caller is told to retry when the gateway that stopped first serves again', () => {
@@ -30,33 +30,33 @@
 	// not retry a second time.
 	const {state, forecast} = createFixture();
 	const views = [buildView('a', {isLeaving: true}), buildView('b', {isLeaving: true})];
-	forecast.note(views[0]!);
+	forecast.recordView(views[0]!);
 	state.now += 2000;
-	forecast.note(views[1]!);
+	forecast.recordView(views[1]!);
 	state.now += 3000;
-	forecast.note(views[0]!);
-	expect(forecast.estimate(views, {ownLeft: 6000})).toBe(7300 - 5000 + 1200);
+	forecast.recordView(views[0]!);
+	expect(forecast.estimate(views, {ownRemainingMs: 6000})).toBe(7300 - 5000 + 1200);
 });
 
 test('a stopping gateway that no longer answers is expected to serve after a restart', () => {
 	const {state, forecast} = createFixture();
 	const views = [buildView('a', {isLeaving: true}), buildView('b', {isLeaving: true})];
 	for (const view of views) {
-		forecast.note(view);
+		forecast.recordView(view);
 	}
 
 	state.now += 3000;
-	expect(forecast.estimate([views[1]!], {ownLeft: 6000})).toBe(1200);
+	expect(forecast.estimate([views[1]!], {ownRemainingMs: 6000})).toBe(1200);
 });
 
 test('a gateway that was removed is not waited for', () => {
 	const {state, forecast} = createFixture();
-	forecast.note(buildView('a', {isLeaving: true}));
+	forecast.recordView(buildView('a', {isLeaving: true}));
 	state.now += 10_000;
-	expect(forecast.estimate([], {ownLeft: 5000})).toBe(6200);
+	expect(forecast.estimate([], {ownRemainingMs: 5000})).toBe(6200);
 });
 
 test('a gateway without peers serves again after its own stop', () => {
 	const {forecast} = createFixture();
-	expect(forecast.estimate([], {ownLeft: 4000})).toBe(5200);
+	expect(forecast.estimate([], {ownRemainingMs: 4000})).toBe(5200);
 });
--- a/src/coordination/return-forecast.ts
+++ b/src/coordination/retry-after-estimator.ts
@@ -6,15 +6,15 @@
 import type {PeerView} from '../state/mod.js';
 import type {Clock} from '../transport/mod.js';
 
-/** Options of {@linkcode createReturnForecast}. */
+/** Options of {@linkcode createRetryAfterEstimator}. */
 export type CreateRetryAfterEstimatorOptions = {
 	readonly clock: Clock;
 	/** Returns the longest time that a gateway takes to stop, in milliseconds. */
-	readonly findStopSpan: () => number;
+	readonly findMaxStopMs: () => number;
 };
 
 /** Estimates the retry-after time for callers. */
-export type RetryAfterEstimator = ReturnType<typeof createReturnForecast>;
+export type RetryAfterEstimator = ReturnType<typeof createRetryAfterEstimator>;
 
 /** Retry-after time while another gateway accepts requests, because a new connection goes there. */
 const otherGatewayRetryMs = 100;
@@ -30,25 +30,25 @@
  *
  * @example
  * ```ts
- * estimator.note(view);
- * estimator.estimate(views.list(), {ownLeft: 4800});
+ * estimator.recordView(view);
+ * estimator.estimate(views.list(), {ownRemainingMs: 4800});
  * ```
  *
  * @param options The clock and the longest time that a stop takes
  * @returns The estimator
  */
-export function createReturnForecast({clock, findStopSpan}: CreateRetryAfterEstimatorOptions) {
+export function createRetryAfterEstimator({clock, findMaxStopMs}: CreateRetryAfterEstimatorOptions) {
 	const stops = new Map<string, {readonly incarnation: string; readonly since: number}>();
 
 	// A gateway that no longer answers has ended, and its successor is starting.
 	function estimatePeerMs(since: number, isAnswering: boolean): number {
-		return isAnswering ? Math.max(0, since + findStopSpan() - clock.now()) + restartMs : restartMs;
+		return isAnswering ? Math.max(0, since + findMaxStopMs() - clock.now()) + restartMs : restartMs;
 	}
 
 	// A gateway that was removed for good never restarts, so its stop expires after the time that a restart takes at most.
 	function dropExpiredStops(): void {
 		for (const [daemon, {since}] of stops) {
-			if (clock.now() - since > findStopSpan() + (2 * restartMs)) {
+			if (clock.now() - since > findMaxStopMs() + (2 * restartMs)) {
 				stops.delete(daemon);
 			}
 		}
@@ -56,7 +56,7 @@
 
 	return {
 		/** Records the state that a gateway reports about itself. */
-		note({daemon, incarnation, isLeaving}: PeerView): void {
+		recordView({daemon, incarnation, isLeaving}: PeerView): void {
 			if (!isLeaving) {
 				stops.delete(daemon);
 			} else if (stops.get(daemon)?.incarnation !== incarnation) {
@@ -65,7 +65,7 @@
 		},
 
 		/** Returns the milliseconds until a gateway accepts requests, given the gateways that answer and the rest of this gateway's stop. */
-		estimate(views: readonly PeerView[], {ownLeft}: {readonly ownLeft: number}): number {
+		estimate(views: readonly PeerView[], {ownRemainingMs}: {readonly ownRemainingMs: number}): number {
 			if (views.some(({isLeaving}) => !isLeaving)) {
 				return otherGatewayRetryMs;
 			}
@@ -73,7 +73,7 @@
 			dropExpiredStops();
 			const answering = new Set(views.map(({daemon}) => daemon));
 			const peerEstimates = [...stops].map(([daemon, {since}]) => estimatePeerMs(since, answering.has(daemon)));
-			return Math.min(ownLeft + restartMs, ...peerEstimates);
+			return Math.min(ownRemainingMs + restartMs, ...peerEstimates);
 		},
 	};
 }
--- a/src/coordination/retry-budget.ts
+++ b/src/coordination/retry-budget.ts
@@ -8,7 +8,7 @@
 /** Options of {@linkcode createRetryBudget}. */
 export type CreateRetryBudgetOptions = {
 	/** Retries granted per request; 0.2 allows one retry for five requests. */
-	readonly share: number;
+	readonly ratio: number;
 	/** Maximum number of accumulated retries; default 10. */
 	readonly burst?: number;
 };
@@ -16,9 +16,9 @@
 /** Limits the number of retries. */
 export type RetryBudget = {
 	/** Credits the budget for one request. */
-	readonly earn: () => void;
+	readonly deposit: () => void;
 	/** Takes one retry from the budget; returns false if none is left. */
-	readonly take: () => boolean;
+	readonly tryWithdraw: () => boolean;
 };
 
 const defaultBurst = 10;
@@ -28,8 +28,8 @@
  *
  * @example
  * ```ts
- * const retries = createRetryBudget({share: 0.2});
- * retries.take(); // true
+ * const retries = createRetryBudget({ratio: 0.2});
+ * retries.tryWithdraw(); // true
  * ```
  *
  * @param options The share of retries and the maximum to accumulate
@@ -39,10 +39,10 @@
 	const burst = options.burst ?? defaultBurst;
 	let balance = burst;
 	return {
-		earn() {
-			balance = Math.min(burst, balance + options.share);
+		deposit() {
+			balance = Math.min(burst, balance + options.ratio);
 		},
-		take() {
+		tryWithdraw() {
 			if (balance < 1) {
 				return false;
 			}
--- a/src/coordination/route-book.ts
+++ b/src/coordination/route-registry.ts
@@ -8,7 +8,7 @@
 import type {Membership} from './membership.js';
 import type {RouteCandidate} from './routing-policy.js';
 
-/** Options of {@linkcode createRouteBook}. */
+/** Options of {@linkcode createRouteRegistry}. */
 export type CreateRouteRegistryOptions = {
 	readonly membership: Membership;
 	readonly failureDomain: string;
@@ -16,7 +16,7 @@
 };
 
 /** Running requests and latency by upstream, as observed by one entry daemon. */
-export type RouteRegistry = ReturnType<typeof createRouteBook>;
+export type RouteRegistry = ReturnType<typeof createRouteRegistry>;
 
 const smoothingFactor = 0.2;
 const decayFactor = 0.98;
@@ -32,7 +32,7 @@
  * @param options Membership, upstreams and this daemon's failure domain
  * @returns The route registry
  */
-export function createRouteBook(options: CreateRouteRegistryOptions) {
+export function createRouteRegistry(options: CreateRouteRegistryOptions) {
 	const {membership} = options;
 	const inFlight = new Map<string, number>();
 	const firstMs = new Map<string, number>();
--- a/src/coordination/service-runner.test.ts
+++ b/src/coordination/service-runner.test.ts
@@ -33,7 +33,7 @@
 	const events = createEventLog(self.id);
 	const log = createFakeLog();
 	const follower = createLogFollower({
-		log, clock, events, window: 1000, fetchFromPeers: async () => undefined, longPoll: 5,
+		log, clock, events, windowMs: 1000, fetchFromPeers: async () => undefined, longPollMs: 5,
 	});
 	const stopper = new AbortController();
 	void follower.run(stopper.signal);
@@ -42,7 +42,7 @@
 		log, follower, clock, events,
 	});
 	const reporter = createReceiptReporter({
-		self, follower, writer, table: createRequestTable({bytes: 1}), clock, events, every: 1000,
+		self, follower, writer, table: createRequestTable({maxAnswerBytes: 1}), clock, events, intervalMs: 1000,
 	});
 	const runner = createServiceRunner({
 		self, follower, writer, reporter, clock, events,
@@ -65,10 +65,10 @@
 // that still assigns it to this daemon.
 test('a request is permitted to run once, and again only if it has not run', async () => {
 	const {runner, stop} = await startRunner(upstream);
-	const first = await runner.obtainRight('r1', service);
-	const second = await runner.obtainRight('r1', service);
+	const first = await runner.obtainPermit('r1', service);
+	const second = await runner.obtainPermit('r1', service);
 	runner.markNotRun('r1');
-	const third = await runner.obtainRight('r1', service);
+	const third = await runner.obtainPermit('r1', service);
 	stop();
 	expect(first.kind).toBe('mine');
 	expect(second).toMatchObject({kind: 'refused', failure: {type: 'outcome-unknown', ran: 'unknown'}});
@@ -84,7 +84,7 @@
 	}]);
 	await follower.waitFor(state => state.runs.has('r1'), AbortSignal.timeout(5000));
 	const other = runner.findPermit('r1');
-	await runner.obtainRight('r2', service);
+	await runner.obtainPermit('r2', service);
 	const own = runner.findPermit('r2');
 	runner.markNotRun('r2');
 	const notRun = [runner.findPermit('r2'), runner.findPermit('r2')];
--- a/src/coordination/service-runner.ts
+++ b/src/coordination/service-runner.ts
@@ -55,7 +55,7 @@
  *
  * @example
  * ```ts
- * const permit = await runner.obtainRight(request.id, service);
+ * const permit = await runner.obtainPermit(request.id, service);
  * ```
  *
  * @param options Service client, log and receipts
@@ -190,7 +190,7 @@
 	}
 
 	return {
-		obtainRight: obtainPermit,
+		obtainPermit: obtainPermit,
 		/** Reads a request's permit from the log without obtaining one; undefined if the log has no run record of it. */
 		findPermit,
 		/** Records that a request with a permit was refused before it ran, so that a retry may run. */
--- a/src/coordination/settler.ts
+++ b/src/coordination/settler.ts
@@ -10,7 +10,7 @@
 import type {GrantShare} from '../protocol/mod.js';
 import {allocateShares, type Reservation} from '../state/mod.js';
 import type {Clock, FleetClient} from '../transport/mod.js';
-import type {GrantKeeper} from './grant-keeper.js';
+import type {GrantManager} from './grant-manager.js';
 import type {LogFollower} from './log-follower.js';
 import type {Membership} from './membership.js';
 
@@ -29,7 +29,7 @@
 	readonly follower: LogFollower;
 	readonly membership: Membership;
 	readonly fleet: FleetClient;
-	readonly keeper: GrantKeeper;
+	readonly grantManager: GrantManager;
 	readonly clock: Clock;
 };
 
@@ -52,7 +52,7 @@
  */
 export function createSettler(options: CreateSettlerOptions) {
 	const {
-		follower, membership, fleet, keeper, clock,
+		follower, membership, fleet, grantManager, clock,
 	} = options;
 	const openAttempts = new Set<OpenAttempt>();
 
@@ -76,14 +76,14 @@
 		const member = placement.get(attempt.daemon);
 		if (!placement.isCurrent(attempt.daemon, attempt.incarnation)) {
 			openAttempts.delete(attempt);
-			keeper.settle(attempt.reservation, computeBillFromLog(attempt));
+			grantManager.settle(attempt.reservation, computeBillFromLog(attempt));
 			return;
 		}
 
 		const billed = member && await fenceAttempt(attempt, member.address);
 		if (billed) {
 			openAttempts.delete(attempt);
-			keeper.settle(attempt.reservation, billed);
+			grantManager.settle(attempt.reservation, billed);
 		}
 	}
 
@@ -92,7 +92,7 @@
 			openAttempts.add(attempt);
 		},
 
-		count: () => openAttempts.size,
+		countOpen: () => openAttempts.size,
 
 		async run(signal: AbortSignal): Promise<void> {
 			while (!signal.aborted) {
--- a/src/coordination/snapshotter.ts
+++ b/src/coordination/snapshotter.ts
@@ -17,7 +17,7 @@
 	readonly membership: Membership;
 	readonly events: EventLog;
 	/** Number of records between two snapshots. */
-	readonly every: number;
+	readonly recordsPerSnapshot: number;
 };
 
 /** Delay per rank, as a share of the number of records between two snapshots. */
@@ -32,20 +32,20 @@
  *
  * @example
  * ```ts
- * const stop = startSnapshotter({follower, writer, membership, events, every: 2000});
+ * const stop = startSnapshotter({follower, writer, membership, events, recordsPerSnapshot: 2000});
  * ```
  *
  * @param options The log and the peers
  * @returns A function that stops appending snapshots
  */
 export function startSnapshotter(options: StartSnapshotterOptions): () => void {
-	const {follower, writer, membership, events, every} = options;
+	const {follower, writer, membership, events, recordsPerSnapshot} = options;
 	let recordsSinceSnapshot = 0;
 
 	function computeThreshold(): number {
 		const live = membership.listLiveEntries(follower.state().placement.list()).map(member => member.daemon);
 		const rank = rankByRendezvous('snapshot', [...live, membership.self.id]).indexOf(membership.self.id);
-		return every * (1 + (rank * rankDelayFactor));
+		return recordsPerSnapshot * (1 + (rank * rankDelayFactor));
 	}
 
 	async function appendSnapshot(): Promise<void> {
--- a/src/coordination/token-availability.ts
+++ b/src/coordination/token-availability.ts
@@ -7,7 +7,7 @@
 import {createFailure, type EventLog, type Failure} from '../protocol/mod.js';
 import type {GrantHolder} from '../state/mod.js';
 import {isHeldByUnresponsive} from './unresponsive-holders.js';
-import type {LoanDesk, LoanSearch} from './loan-desk.js';
+import type {LoanManager, LoanSearch} from './loan-manager.js';
 import type {LogFollower} from './log-follower.js';
 import type {Membership} from './membership.js';
 
@@ -16,7 +16,7 @@
 	readonly follower: LogFollower;
 	readonly membership: Membership;
 	readonly holder: GrantHolder;
-	readonly loans: LoanDesk;
+	readonly loans: LoanManager;
 	readonly events: EventLog;
 };
 
@@ -48,24 +48,24 @@
 
 	// A claim sized before the request arrived may not cover it although enough tokens are ungranted.
 	function isClaimable(budget: string, amount: number): boolean {
-		return holder.countFree(budget) + countRemaining(budget) >= amount;
+		return holder.countFreeTokens(budget) + countRemaining(budget) >= amount;
 	}
 
 	return {
 		/** Returns true if tokens that a request lacks may become free while it waits. */
 		mayBecomeAvailable(budget: string, amount: number, {reserved, isComplete}: LoanSearch): boolean {
 			// A peer that has just died still counts as alive but does not answer, which makes the search incomplete.
-			const isInFlight = holder.countReserved(budget) + reserved > 0 || !isComplete;
+			const isInFlight = holder.countReservedTokens(budget) + reserved > 0 || !isComplete;
 			return isInFlight || (follower.isLogUp() && (isClaimable(budget, amount) || isHeldByUnresponsive(budget, options)));
 		},
 
 		/** Refuses a request, with the long retry delay only if no remaining tokens of the budget could cover it. */
 		refuse(budget: string, amount: number, isBusy: boolean): Failure {
 			const remaining = countRemaining(budget);
-			const free = holder.countFree(budget) + remaining;
+			const free = holder.countFreeTokens(budget) + remaining;
 			const isOutOfReach = isClaimable(budget, amount) || isHeldByUnresponsive(budget, options);
 			events.write('budgetShort', {
-				budget, amount, free: holder.countFree(budget), remaining, reserved: holder.countReserved(budget), isBusy, isOutOfReach, isLogUp: follower.isLogUp(),
+				budget, amount, free: holder.countFreeTokens(budget), remaining, reserved: holder.countReservedTokens(budget), isBusy, isOutOfReach, isLogUp: follower.isLogUp(),
 			});
 			if (isBusy) {
 				return createFailure('budget-busy', `Budget "${budget}" has ${free} tokens free and the request may need ${amount}; running requests or unresponsive daemons hold the remainder`, {
--- a/src/coordination/token-lending.test.ts
+++ b/src/coordination/token-lending.test.ts
@@ -10,8 +10,8 @@
 		daemon: 'e2', incarnation: 'i', address: 'e2', free: [], uses: [], version: 1, isLeaving: false, crashes: [],
 	};
 	return createTokenLending({
-		daemon: 'e1', account: createTokenAccount(), events, listViews: () => [view], listSilent: () => unresponsive, countWanted: () => 0, ask: async () => 0,
-		clock: {now: () => 0, sleep: async () => undefined}, listHomes: () => [], isHome: () => true, claim: async () => undefined, onLent: () => undefined,
+		daemon: 'e1', account: createTokenAccount(), events, listViews: () => [view], listUnresponsive: () => unresponsive, countWanted: () => 0, requestLoan: async () => 0,
+		clock: {now: () => 0, sleep: async () => undefined}, listOwners: () => [], isOwner: () => true, claim: async () => undefined, onLent: () => undefined,
 	});
 }
 
--- a/src/coordination/token-lending.ts
+++ b/src/coordination/token-lending.ts
@@ -9,7 +9,7 @@
 import type {Clock} from '../transport/mod.js';
 
 /** A request for a loan, as one gateway sends it to another. */
-export type LendAsk = {
+export type TokenLoanRequest = {
 	/** Unique ID of the loan; a repeated request gets the same answer. */
 	readonly loan: string;
 	readonly customer: string;
@@ -30,20 +30,20 @@
 	readonly events: EventLog;
 	readonly listViews: () => PeerView[];
 	/** Returns the gateways recorded as running in the log that recently became unresponsive or have not been heard yet. */
-	readonly listSilent: () => readonly string[];
+	readonly listUnresponsive: () => readonly string[];
 	/** Returns the number of tokens that waiting requests of this gateway need. */
 	readonly countWanted: (customer: string) => number;
 	/** Returns the gateways in the order in which they take over the customer's budget; none if each claims for itself. */
-	readonly listHomes: (customer: string) => readonly string[];
+	readonly listOwners: (customer: string) => readonly string[];
 	/** Returns true if this gateway claims the customer's budget. */
-	readonly isHome: (customer: string) => boolean;
+	readonly isOwner: (customer: string) => boolean;
 	/** Claims tokens on behalf of another gateway. */
 	readonly claim: (customer: string, amount: number) => Promise<void>;
 	/** Called with the amount lent to a gateway on whose behalf this one claims. */
 	readonly onLent: (customer: string, amount: number) => void;
 	readonly clock: Clock;
 	/** Requests a loan from one gateway and returns the tokens lent; throws if it does not answer. */
-	readonly ask: (address: string, request: LendAsk) => Promise<number>;
+	readonly requestLoan: (address: string, request: TokenLoanRequest) => Promise<number>;
 };
 
 /** Lends tokens to other gateways and borrows from them. */
@@ -57,7 +57,7 @@
 };
 
 /** Amounts to borrow, in tokens. */
-export type BorrowAmounts = Pick<LendAsk, 'needed' | 'wanted'>;
+export type BorrowAmounts = Pick<TokenLoanRequest, 'needed' | 'wanted'>;
 
 /** Time for which a gateway that did not answer is asked after the others. */
 const unresponsivePeriodMs = 2000;
@@ -107,17 +107,17 @@
 
 	// Repeats the request under the same loan ID, because the lender may have subtracted the tokens before its answer was
 	// lost. The caller's request does not wait for this.
-	async function retryLoanRequest(peer: PeerView, request: LendAsk): Promise<void> {
+	async function retryLoanRequest(peer: PeerView, request: TokenLoanRequest): Promise<void> {
 		try {
-			recordLoan(peer, request.customer, await options.ask(peer.address, request));
+			recordLoan(peer, request.customer, await options.requestLoan(peer.address, request));
 		} catch (error) {
 			events.write('loanUnanswered', {peer: peer.daemon, customer: request.customer, detail: (error as Error).message});
 		}
 	}
 
-	async function sendLoanRequest(peer: PeerView, request: LendAsk): Promise<number | undefined> {
+	async function sendLoanRequest(peer: PeerView, request: TokenLoanRequest): Promise<number | undefined> {
 		try {
-			const lent = await options.ask(peer.address, request);
+			const lent = await options.requestLoan(peer.address, request);
 			recordLoan(peer, request.customer, lent);
 			return lent;
 		} catch (error) {
@@ -136,7 +136,7 @@
 	function rankLenders(customer: string): {readonly owners: readonly PeerView[]; readonly others: readonly PeerView[]} {
 		const countFree = (view: PeerView) => view.free.find(item => item.customer === customer)?.tokens ?? 0;
 		const byFree = options.listViews().sort((left, right) => countFree(right) - countFree(left));
-		const owners = options.listHomes(customer);
+		const owners = options.listOwners(customer);
 		if (owners.length === 0) {
 			return {owners: [], others: byFree};
 		}
@@ -150,9 +150,9 @@
 
 	async function search(customer: string, {needed, wanted}: BorrowAmounts): Promise<BorrowOutcome> {
 		const wantedRatio = wanted / Math.max(1, needed);
-		const mayClaim = !options.isHome(customer);
+		const mayClaim = !options.isOwner(customer);
 		let missing = needed;
-		let isComplete = options.listSilent().length === 0;
+		let isComplete = options.listUnresponsive().length === 0;
 		const requestMissing = async (peer: PeerView, lenderMayClaim: boolean) => {
 			const lent = await sendLoanRequest(peer, {
 				loan: createId('l'), customer, needed: missing, wanted: Math.ceil(missing * wantedRatio), from: options.daemon, mayClaim: lenderMayClaim,
@@ -185,10 +185,10 @@
 	}
 
 	function countSpare(customer: string): number {
-		return Math.max(0, account.countFree(customer) - options.countWanted(customer));
+		return Math.max(0, account.countFreeTokens(customer) - options.countWanted(customer));
 	}
 
-	function makeLoan({customer, needed, wanted, from, mayClaim}: LendAsk): number {
+	function makeLoan({customer, needed, wanted, from, mayClaim}: TokenLoanRequest): number {
 		const spare = countSpare(customer);
 		// A large request that is refused anyway must not take the remainder of a budget from its owner, because smaller
 		// requests at other gateways would not find it.
@@ -207,7 +207,7 @@
 		return lent;
 	}
 
-	async function claimAndLend(request: LendAsk): Promise<number> {
+	async function claimAndLend(request: TokenLoanRequest): Promise<number> {
 		if (request.mayClaim && countSpare(request.customer) < request.needed) {
 			await options.claim(request.customer, request.needed);
 		}
@@ -217,7 +217,7 @@
 
 	return {
 		/** Lends the tokens that a peer needs, and more if many are spare. Waiting requests of this gateway take precedence. */
-		async lend(request: LendAsk): Promise<number> {
+		async lend(request: TokenLoanRequest): Promise<number> {
 			const known = answers.get(request.loan);
 			if (known) {
 				return known;
--- a/src/coordination/unresponsive-holders.ts
+++ b/src/coordination/unresponsive-holders.ts
@@ -4,12 +4,12 @@
  *
  * @module
  */
-import type {LoanDesk} from './loan-desk.js';
+import type {LoanManager} from './loan-manager.js';
 import type {LogFollower} from './log-follower.js';
 import type {Membership} from './membership.js';
 
 /** Options of {@linkcode isHeldByUnresponsive}. */
-export type IsHeldByUnresponsiveOptions = {readonly follower: LogFollower; readonly membership: Membership; readonly loans: LoanDesk};
+export type IsHeldByUnresponsiveOptions = {readonly follower: LogFollower; readonly membership: Membership; readonly loans: LoanManager};
 
 /** @internal Returns true if an unresponsive daemon holds a grant, or a closed grant waits for final reports. */
 function isGrantedToUnresponsive(budget: string, {follower, membership}: IsHeldByUnresponsiveOptions): boolean {
@@ -32,7 +32,7 @@
  */
 function isLentToUnresponsive(budget: string, {follower, membership, loans}: IsHeldByUnresponsiveOptions): boolean {
 	const {ledger} = follower.state();
-	for (const grant of loans.findLentTo(daemon => !membership.isAlive(daemon))) {
+	for (const grant of loans.findGrantsLentTo(daemon => !membership.isAlive(daemon))) {
 		if (ledger.findGrant(grant)?.budget === budget) {
 			return true;
 		}
--- a/src/coordination/upstream-book.ts
+++ b/src/coordination/upstream-registry.ts
@@ -14,19 +14,19 @@
 import type {Clock} from '../transport/mod.js';
 import type {PlacementCandidate} from './placement-policy.js';
 
-/** Options of {@linkcode createUpstreamBook}. */
+/** Options of {@linkcode createUpstreamRegistry}. */
 export type CreateUpstreamRegistryOptions = {
 	readonly directory: UpstreamDirectory;
 	readonly clock: Clock;
 	readonly failureDomain: string;
 	/** Returns the age of the directory's data, in milliseconds. */
-	readonly countViewAge?: () => number | undefined;
+	readonly getViewAgeMs?: () => number | undefined;
 	/** Returns the combined use of an upstream by all other gateways. */
 	readonly sumPeerUse: (upstream: string) => UpstreamUse;
 	/** Called when this gateway's use of an upstream changes. */
-	readonly onUse?: () => void;
+	readonly onUseChange?: () => void;
 	/** Called when a prompt is sent to an upstream. */
-	readonly onPrompt?: (prompt: PlacedPrompt) => void;
+	readonly onPromptPlaced?: (prompt: PlacedPrompt) => void;
 };
 
 /** Options of {@linkcode UpstreamRegistry.listCandidates}. */
@@ -34,7 +34,7 @@
 	readonly service: GatewayService;
 	readonly generation: Generation | undefined;
 	/** Ids of upstreams that were already tried. */
-	readonly without: ReadonlySet<string>;
+	readonly excluded: ReadonlySet<string>;
 };
 
 /** Records the course of one request at an upstream. */
@@ -52,7 +52,7 @@
 };
 
 /** Statistics of a gateway on each upstream. */
-export type UpstreamRegistry = ReturnType<typeof createUpstreamBook>;
+export type UpstreamRegistry = ReturnType<typeof createUpstreamRegistry>;
 
 type UpstreamStats = {
 	inFlight: number;
@@ -100,7 +100,7 @@
  * @param options The directory of upstreams, the clock and the use by other gateways
  * @returns The registry
  */
-export function createUpstreamBook(options: CreateUpstreamRegistryOptions) {
+export function createUpstreamRegistry(options: CreateUpstreamRegistryOptions) {
 	const {directory, clock, failureDomain} = options;
 	const statsById = new Map<string, UpstreamStats>();
 	const promptCache = createPromptCache();
@@ -132,7 +132,7 @@
 			slots: upstream.slots,
 			inFlight: Math.max(stats.inFlight + peerUse.inFlight, reportedRequests),
 			waitingTokens: stats.waitingTokens + peerUse.waitingTokens,
-			cachedTokens: generation ? promptCache.countCached(upstream.id, generation.parts) : 0,
+			cachedTokens: generation ? promptCache.countCachedTokens(upstream.id, generation.parts) : 0,
 			slowness: estimateSlowness(stats, median, isWarm),
 			failureShare: stats.failureShare,
 			isSameDomain: upstream.failureDomain === failureDomain,
@@ -142,9 +142,9 @@
 
 	return {
 		/** Lists the live upstreams of a service, without those that recently did not respond unless no others remain. */
-		listCandidates({service, generation, without}: ListCandidatesOptions): PlacementCandidate[] {
+		listCandidates({service, generation, excluded}: ListCandidatesOptions): PlacementCandidate[] {
 			const now = clock.now();
-			const live = directory.listLive(service.id, now).filter(({upstream}) => !without.has(upstream.id));
+			const live = directory.listLive(service.id, now).filter(({upstream}) => !excluded.has(upstream.id));
 			const responsive = live.filter(({upstream}) => ensureStats(upstream.id).avoidUntil <= now);
 			const selected = responsive.length > 0 ? responsive : live;
 			const median = findMedianMsPerToken(selected.map(({upstream}) => upstream.id));
@@ -155,29 +155,29 @@
 		/** Returns true if requests may be sent to an upstream. */
 		isLive: (id: string): boolean => directory.isLive(id, clock.now()),
 		/** Returns true if an upstream is live and listed, not merely in its grace period, so that its process is not expected to end. */
-		isListed: (id: string): boolean => directory.isLive(id, clock.now()) && directory.countGrace(id, clock.now()) === 0,
-		getViewAgeMs: (): number | undefined => options.countViewAge?.(),
+		isListed: (id: string): boolean => directory.isLive(id, clock.now()) && directory.computeRemainingGraceMs(id, clock.now()) === 0,
+		getViewAgeMs: (): number | undefined => options.getViewAgeMs?.(),
 
 		/** Starts tracking a request at an upstream. The caller must call `end` on the returned tracker. */
 		trackRequest(id: string, {service, generation}: Pick<ListCandidatesOptions, 'service' | 'generation'>): UpstreamRequestTracker {
 			const stats = ensureStats(id);
 			const startedAt = clock.now();
-			const uncachedTokens = generation ? generation.promptTokens - promptCache.countCached(id, generation.parts) : 0;
+			const uncachedTokens = generation ? generation.promptTokens - promptCache.countCachedTokens(id, generation.parts) : 0;
 			const workTokens = baseRequestTokens + stats.waitingTokens + uncachedTokens;
 			let pendingTokens = uncachedTokens;
 			stats.inFlight += 1;
 			stats.waitingTokens += uncachedTokens;
 			if (generation) {
 				const memory = service.engine?.memory ?? Number.POSITIVE_INFINITY;
-				promptCache.note(id, generation.parts, memory);
-				options.onPrompt?.({upstream: id, memory, parts: [...generation.parts]});
-				options.onUse?.();
+				promptCache.recordPrompt(id, generation.parts, memory);
+				options.onPromptPlaced?.({upstream: id, memory, parts: [...generation.parts]});
+				options.onUseChange?.();
 			}
 
 			const releaseWaitingTokens = () => {
 				stats.waitingTokens -= pendingTokens;
 				if (pendingTokens > 0) {
-					options.onUse?.();
+					options.onUseChange?.();
 				}
 
 				pendingTokens = 0;
@@ -199,7 +199,7 @@
 					stats.avoidUntil = clock.now() + Math.min(maxAvoidMs, baseAvoidMs * (2 ** (stats.unansweredInRow - 1)));
 				},
 				recordMoved() {
-					directory.markMoved(id);
+					directory.markAddressReused(id);
 				},
 				recordFailure() {
 					stats.failureShare += (1 - stats.failureShare) * smoothingFactor;
@@ -212,13 +212,13 @@
 		},
 
 		/** Records a prompt that another gateway has sent to an upstream. */
-		takePrompt({upstream, parts, memory}: PlacedPrompt): void {
+		recordPeerPrompt({upstream, parts, memory}: PlacedPrompt): void {
 			ensureStats(upstream);
-			promptCache.note(upstream, parts, memory);
+			promptCache.recordPrompt(upstream, parts, memory);
 		},
 
 		/** Lists the prompts that upstreams are assumed to have cached, for a gateway that has just started. */
-		listCached: (): PlacedPrompt[] => promptCache.list(),
+		listCachedPrompts: (): PlacedPrompt[] => promptCache.list(),
 
 		/** Lists this gateway's requests in flight at each upstream. */
 		listUses: (): UpstreamUse[] => [...statsById].filter(([, stats]) => stats.inFlight > 0)
--- a/src/coordination/work-queue.ts
+++ b/src/coordination/work-queue.ts
@@ -12,9 +12,9 @@
 /** Options of {@linkcode createWorkQueue}. */
 export type CreateWorkQueueOptions = {
 	/** Largest number of requests that run concurrently. */
-	readonly capacity: number;
+	readonly maxRunning: number;
 	/** Largest number of requests that wait. */
-	readonly limit: number;
+	readonly maxWaiting: number;
 	readonly clock: Clock;
 };
 
@@ -53,7 +53,7 @@
  * @returns The queue
  */
 export function createWorkQueue(options: CreateWorkQueueOptions) {
-	const {capacity: maxRunning, limit: maxWaiting, clock} = options;
+	const {maxRunning: maxRunning, maxWaiting: maxWaiting, clock} = options;
 	const waiting: Waiting[] = [];
 	let running = 0;
 	let averageServiceMs = initialServiceMs;
--- a/src/daemon/caller-answer.ts
+++ b/src/daemon/caller-answer.ts
@@ -44,7 +44,7 @@
 		end(bytes) {
 			response.end(bytes);
 		},
-		cut() {
+		abort() {
 			response.destroy();
 		},
 		refuse(failure: Failure) {
--- a/src/daemon/caller-interface.ts
+++ b/src/daemon/caller-interface.ts
@@ -62,7 +62,7 @@
 
 	function refuse(response: ServerResponse, failure: Failure, caller?: Caller): void {
 		if (caller) {
-			metrics.noteRefused({customer: caller.key.customer, class: caller.class}, failure.type);
+			metrics.recordRefused({customer: caller.key.customer, class: caller.class}, failure.type);
 		}
 
 		events.write('requestRefused', {type: failure.type, customer: caller?.key.customer, ran: failure.ran});
@@ -73,7 +73,7 @@
 
 	function noteServed(caller: Caller, timing: Timing, end: AnswerEnd): void {
 		const now = clock.now();
-		metrics.noteServed({customer: caller.key.customer, class: caller.class}, {
+		metrics.recordServed({customer: caller.key.customer, class: caller.class}, {
 			firstMs: (timing.firstAt ?? now) - caller.startedAt, totalMs: now - caller.startedAt, gapMs: timing.gapMs, tokens: end.promptTokens + end.completionTokens,
 		});
 	}
@@ -138,7 +138,7 @@
 			chunks.length = 0;
 		};
 
-		const result = await collect({...call, restart}, chunk => {
+		const result = await collect({...call, discardChunks: restart}, chunk => {
 			noteChunk(timing);
 			chunks.push(parseChunk(chunk));
 		});
--- a/src/daemon/core.ts
+++ b/src/daemon/core.ts
@@ -64,15 +64,15 @@
 	const fleet = createFleetClient(fleetKey);
 	const stopper = new AbortController();
 	const follower = createLogFollower({
-		log, clock, events, window: settings.log.window, fetchFromPeers: async from => membership.fetchRecords(from),
+		log, clock, events, windowMs: settings.log.window, fetchFromPeers: async from => membership.fetchRecords(from),
 	});
 	const membership = createMembership({
 		self, fleet, clock, events, seeds: settings.peers, hostList,
-		hostListEvery: settings.hostList?.every ?? 0,
-		heartbeatEvery: settings.heartbeat.every,
-		suspectAfter: settings.heartbeat.suspectAfter,
+		hostListIntervalMs: settings.hostList?.every ?? 0,
+		heartbeatIntervalMs: settings.heartbeat.every,
+		suspectTimeoutMs: settings.heartbeat.suspectAfter,
 		listMembers: () => follower.state().placement.list(),
-		countNext: () => follower.state().next(),
+		getNextOffset: () => follower.state().getNextOffset(),
 	});
 	const writer = createLogWriter({
 		log, follower, clock, events,
--- a/src/daemon/entry-daemon.ts
+++ b/src/daemon/entry-daemon.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import {
-	AheadGrantPolicy, PrefixRoutingPolicy, createAttemptRunner, createGrantKeeper, createIntents, createLoanDesk, createReclaimer, createRequestRouter,
-	createRetryBudget, createRouteBook, createSettler, startSnapshotter, type GrantPolicy, type RoutingPolicy,
+	AheadGrantPolicy, PrefixRoutingPolicy, createAttemptRunner, createGrantManager, createIntentManager, createLoanManager, createReclaimer, createRequestRouter,
+	createRetryBudget, createRouteRegistry, createSettler, startSnapshotter, type GrantPolicy, type RoutingPolicy,
 } from '../coordination/mod.js';
 import {Peer, type EntrySettings} from '../protocol/mod.js';
 import {createGrantHolder} from '../state/mod.js';
@@ -51,35 +51,35 @@
 	const listMembers = () => follower.state().placement.list();
 	const holder = createGrantHolder();
 	let refusesNew = false;
-	const loans = createLoanDesk({
-		holder, membership, fleet, clock, events, listMembers, listWanted: budget => keeper.listWanted(budget),
+	const loans = createLoanManager({
+		holder, membership, fleet, clock, events, listMembers, listWaitingAmounts: budget => keeper.listWanted(budget),
 	});
-	const keeper = createGrantKeeper({
+	const keeper = createGrantManager({
 		follower, writer, membership, holder, loans, clock, events,
-		policy: parts.grantPolicy ?? new AheadGrantPolicy({horizon: settings.grants.horizon, shortHorizon: settings.grants.shortHorizon}),
-		every: settings.grants.every,
+		policy: parts.grantPolicy ?? new AheadGrantPolicy({horizonMs: settings.grants.horizon, shortHorizonMs: settings.grants.shortHorizon}),
+		intervalMs: settings.grants.every,
 	});
 	const settler = createSettler({
-		follower, membership, fleet, keeper, clock,
+		follower, membership, fleet, grantManager: keeper, clock,
 	});
-	const book = createRouteBook({membership, failureDomain: settings.failureDomain, listUpstreams: () => follower.state().placement.listUpstreams()});
+	const book = createRouteRegistry({membership, failureDomain: settings.failureDomain, listUpstreams: () => follower.state().placement.listUpstreams()});
 	const resumeWithin = settings.heartbeat.suspectAfter * resumeFactor;
 	const attempts = createAttemptRunner({
-		follower, membership, fleet, keeper, settler, book, clock, events, resumeWithin,
+		follower, membership, fleet, grants: keeper, settler, routes: book, clock, events, resumeTimeoutMs: resumeWithin,
 	});
 	const router = createRequestRouter({
-		follower, attempts, book, clock, events, resumeWithin,
+		follower, attempts, routes: book, clock, events, upstreamWaitMs: resumeWithin,
 		policy: parts.routingPolicy ?? new PrefixRoutingPolicy(),
-		retries: createRetryBudget({share: settings.requests.retryShare}),
+		retries: createRetryBudget({ratio: settings.requests.retryShare}),
 	});
 	const callers = createCallerInterface({
 		self, settings: settings.requests, refusesNew: () => refusesNew, follower, router, metrics, clock, events,
 	});
 	const operators = createOperatorInterface({
 		operatorKey: core.operatorKey, follower, writer, membership, events, metrics, holder,
-		intents: createIntents({follower, writer, events}),
+		intents: createIntentManager({follower, writer, events}),
 		isReady: () => follower.isReady() && !self.isLeaving,
-		countFigures: () => ({running: callers.countRunning(), openAttempts: settler.count()}),
+		countFigures: () => ({running: callers.countRunning(), openAttempts: settler.countOpen()}),
 	});
 
 	const fleetServer = await core.startFleet(connect => {
@@ -89,10 +89,10 @@
 	const operatorServer = await startHttpServer(settings.listen.operators, operators.addRoutes);
 	const enrolment = core.enrol({address: fleetServer.address, serves: [], work: 'none'});
 	const stopSnapshots = startSnapshotter({
-		follower, writer, membership, events, every: settings.log.snapshotEvery,
+		follower, writer, membership, events, recordsPerSnapshot: settings.log.snapshotEvery,
 	});
 	const reclaimer = createReclaimer({
-		follower, writer, membership, clock, events, isShort: keeper.isShort, findLentTo: loans.findLentTo,
+		follower, writer, membership, clock, events, wasInsufficient: keeper.wasInsufficient, findLentTo: loans.findGrantsLentTo,
 	});
 	for (const task of [keeper, settler, reclaimer]) {
 		void task.run(signal);
@@ -108,12 +108,12 @@
 			// The balancer learns from /readyz; what it still sends meanwhile is served like any request.
 			await clock.sleep(leaveNotice);
 			refusesNew = true;
-			if (!await waitUntilIdle(() => callers.countRunning() + settler.count(), {within: settings.stopWithin, clock})) {
+			if (!await waitUntilIdle(() => callers.countRunning() + settler.countOpen(), {within: settings.stopWithin, clock})) {
 				events.write('requestCut', {running: callers.countRunning()});
 			}
 
 			if (follower.isLogUp()) {
-				await keeper.returnAll();
+				await keeper.releaseUnused();
 				await enrolment.leave();
 			}
 
--- a/src/daemon/gateway-daemon.ts
+++ b/src/daemon/gateway-daemon.ts
@@ -7,15 +7,15 @@
 import {setMaxListeners} from 'node:events';
 import process from 'node:process';
 import {
-	createAdmission, createBudgetHomes, createBudgetKeeper, createCrashWatch, createDirectPath, createMetrics, createPeerCatchUp, createPeerNews, createQuarantine, createQuarantineRecorder,
-	createRelayedLog, createRequestForwarder, createReturnForecast, createRetryBudget, createTokenLending, createUpstreamBook, runLoopWatch, type CatchUpAnswer, type CatchUpAsk, type HolderIdentity,
-	type NewsPeer, type ProcessWork, type RetryBudget,
+	createAdmission, createBudgetOwners, createBudgetManager, createCrashDetector, createStorePathTracker, createMetrics, createPeerCatchUp, createPeerNews, createQuarantine, createQuarantineRecorder,
+	createRelayedLog, createRequestForwarder, createRetryAfterEstimator, createRetryBudget, createTokenLending, createUpstreamRegistry, monitorEventLoop, type CatchUpAnswer, type CatchUpAsk, type HolderIdentity,
+	type NewsPeer, type ProcessStats, type RetryBudget,
 } from '../coordination/mod.js';
 import {
 	Gateway, Relay, createId, type EventLog, type GatewaySettings, type KeyedLog,
 } from '../protocol/mod.js';
 import {
-	createCrashBook, createPeerViews, type HolderRecord, type PeerView,
+	createCrashRegistry, createPeerViews, type HolderRecord, type PeerView,
 } from '../state/mod.js';
 import {
 	createFleetClient, createSystemClock, createUpstreamClient, openDatagramSocket, probeAddress, startCallerServer, startFleetServer, startHttpServer,
@@ -94,10 +94,10 @@
 	setMaxListeners(0, signal);
 	const self = createIdentity(settings);
 	const fleet = createFleetClient(settings.fleetKey);
-	const path = createDirectPath({clock, events});
+	const path = createStorePathTracker({clock, events});
 	const openRelayed = (direct: KeyedLog) => createRelayedLog({
-		direct, path, clock, listRelays,
-		openThrough: address => openLogThrough(direct.name, {fleet, address}),
+		direct, pathTracker: path, clock, listRelays,
+		openRelayedLog: address => openLogThrough(direct.name, {fleet, address}),
 	});
 	const logs = {deployment: openRelayed(adapter.logs.deployment), upstreams: openRelayed(adapter.logs.upstreams), grants: openRelayed(adapter.logs.grants)};
 	const stopWindow = createStopWindow({notice: leaveNotice, clock});
@@ -108,7 +108,7 @@
 			callerServer.setLimits(deployment.limits);
 		},
 		onOwnGrants(record) {
-			keeper.takeOwnRecord(record);
+			keeper.applyOwnRecord(record);
 		},
 		onQuarantine(record) {
 			recorder.take(record);
@@ -116,12 +116,12 @@
 	});
 	const {account, book, directory, findTable} = state;
 	const views = createPeerViews();
-	const upstreams = createUpstreamBook({
-		directory, clock, failureDomain: settings.failureDomain, countViewAge: state.countViewAge, sumPeerUse: views.sumUse,
-		onUse() {
+	const upstreams = createUpstreamRegistry({
+		directory, clock, failureDomain: settings.failureDomain, getViewAgeMs: state.countViewAge, sumPeerUse: views.sumUse,
+		onUseChange() {
 			news.noteChange();
 		},
-		onPrompt(prompt) {
+		onPromptPlaced(prompt) {
 			news.notePrompt(prompt);
 		},
 	});
@@ -165,24 +165,24 @@
 	function answerCatchUp({knownVersion, wantsPrompts}: CatchUpAsk): CatchUpAnswer {
 		return {
 			deployment: knownVersion < findVersion() ? new TextEncoder().encode(state.deploymentRecord()) : new Uint8Array(),
-			prompts: wantsPrompts ? upstreams.listCached() : [],
+			prompts: wantsPrompts ? upstreams.listCachedPrompts() : [],
 			crashes: wantsPrompts ? quarantine.listAll() : [],
 		};
 	}
 
-	function readWork(): ProcessWork {
+	function readWork(): ProcessStats {
 		const {user, system} = process.cpuUsage();
 		const {connections, requests} = callerServer.countWork();
 		return {cpuMs: (user + system) / microsecondsPerMillisecond, connections, requests};
 	}
 
 	const findStopSpan = () => settings.stopWithin - stopReserve;
-	const forecast = createReturnForecast({clock, findStopSpan});
+	const forecast = createRetryAfterEstimator({clock, findMaxStopMs: findStopSpan});
 	const catchUp = createPeerCatchUp({
 		clock, events, findVersion,
 		ask: async (address, ask) => fleet.connect(address).gateway.catchUp(ask, {timeoutMs: peerTimeout}),
 		onDeployment: state.adoptFromPeer,
-		onPrompt: upstreams.takePrompt,
+		onPrompt: upstreams.recordPeerPrompt,
 		onCrashes(record) {
 			quarantine.take(record, 'peer');
 		},
@@ -197,18 +197,18 @@
 			newsSocket.send(message, addresses);
 		},
 		onView(view) {
-			forecast.note(view);
+			forecast.recordView(view);
 			catchUp.note(view);
 			for (const record of view.crashes) {
 				quarantine.take(record, 'peer');
 			}
 		},
-		onPrompt: upstreams.takePrompt,
+		onPrompt: upstreams.recordPeerPrompt,
 		random: Math.random,
 	});
 	const listUp = () => listPeers().map(({daemon}) => daemon).filter(daemon => news.isPresumedUp(daemon));
-	const homes = createBudgetHomes({clock, daemon: self.daemon, listPeers: listUp});
-	const crashBook = createCrashBook();
+	const homes = createBudgetOwners({clock, daemon: self.daemon, listPeers: listUp});
+	const crashBook = createCrashRegistry();
 	const quarantine = createQuarantine({
 		book: crashBook, daemon: self.daemon, listPeers: listUp, clock, events,
 		onChange() {
@@ -223,22 +223,22 @@
 	});
 	const lending = createTokenLending({
 		daemon: self.daemon, account, events, clock,
-		listHomes: homes.listHomes,
-		isHome: homes.isHome,
-		claim: async (customer, amount) => keeper.claimFor(customer, amount),
+		listOwners: homes.listOwners,
+		isOwner: homes.isOwner,
+		claim: async (customer, amount) => keeper.claimForPeer(customer, amount),
 		onLent(customer, amount) {
-			keeper.noteLent(customer, amount);
+			keeper.recordLent(customer, amount);
 		},
 		listViews: views.list,
-		listSilent: news.listSilent,
+		listUnresponsive: news.listSilent,
 		countWanted: customer => keeper.countWanted(customer),
-		async ask(address, ask) {
+		async requestLoan(address, ask) {
 			const {tokens} = await fleet.connect(address).gateway.lend(ask, {timeoutMs: peerTimeout});
 			return tokens;
 		},
 	});
-	const keeper = createBudgetKeeper({
-		self, log: logs.grants, follower: state.grants, book, account, homes, clock, events, signal, findTable,
+	const keeper = createBudgetManager({
+		self, log: logs.grants, follower: state.grants, grants: book, account, owners: homes, clock, events, signal, findRouteTable: findTable,
 		borrow: lending.borrow,
 	});
 	const retries = new Map<string, RetryBudget>();
@@ -247,34 +247,34 @@
 	const forwarder = createRequestForwarder({
 		wire: adapter.wire, clock, events,
 		client: createUpstreamClient({connectTimeout, connections: upstreamConnections}),
-		book: upstreams,
+		registry: upstreams,
 		quarantine,
-		crashes: createCrashWatch({
-			isExpected: upstreams.isListed,
+		crashDetector: createCrashDetector({
+			isExpectedUp: upstreams.isListed,
 			probe: async address => probeAddress(address, {timeout: probeTimeout}),
 		}),
-		findRetries(service) {
+		findRetryBudget(service) {
 			const gateways = book.listRunning().filter(({role}) => role === 'gateway').length;
 			if (gateways > mostGateways) {
 				mostGateways = gateways;
 				retries.clear();
 			}
 
-			const known = retries.get(service) ?? createRetryBudget({share: settings.retryShare, burst: settings.retrySlack / mostGateways});
+			const known = retries.get(service) ?? createRetryBudget({ratio: settings.retryShare, burst: settings.retrySlack / mostGateways});
 			retries.set(service, known);
 			return known;
 		},
 	});
 	const admission = createAdmission({
 		random: Math.random,
-		findObjective: () => Math.min(...findTable()?.deployment.routes.map(({objective}) => objective) ?? []),
+		findShortestObjective: () => Math.min(...findTable()?.deployment.routes.map(({objective}) => objective) ?? []),
 		onChange(change) {
 			events.write('admissionChanged', change);
 		},
 	});
 	const callers = createGatewayInterface({
 		wire: adapter.wire, findTable, keeper, forwarder, metrics, clock, events, stopWindow, admission, quarantine,
-		findLeavingRetryAfter: () => forecast.estimate(views.list(), {ownLeft: stopWindow.countLeft()}),
+		findLeavingRetryAfter: () => forecast.estimate(views.list(), {ownRemainingMs: stopWindow.countLeft()}),
 	});
 	const callerServer = await startCallerServer(settings.listen.callers, callers.serve);
 	let readinessAnswers = 0;
@@ -326,8 +326,8 @@
 	void keeper.run();
 	void news.run(signal);
 	void recorder.run(signal);
-	void runLoopWatch({
-		clock, onRound: admission.noteLag, readWork,
+	void monitorEventLoop({
+		clock, onWindow: admission.recordLag, readStats: readWork,
 		onStall(stall) {
 			events.write('loopStalled', stall);
 		},
@@ -355,7 +355,7 @@
 			}
 
 			stopWindow.finish();
-			await Promise.race([keeper.end(), clock.sleep(stopReserve / 2)]);
+			await Promise.race([keeper.releaseUnused(), clock.sleep(stopReserve / 2)]);
 			stopper.abort();
 			callers.noteEnding();
 			callerServer.cut();
--- a/src/daemon/gateway-interface.test.ts
+++ b/src/daemon/gateway-interface.test.ts
@@ -1,7 +1,7 @@
 import {setTimeout as wait} from 'node:timers/promises';
 import {expect, test} from 'vitest';
 import {
-	type Admission, type BudgetKeeper, type RequestForwarder, createMetrics,
+	type Admission, type BudgetManager, type RequestForwarder, createMetrics,
 } from '../coordination/mod.js';
 import {
 	Ok, type Deployment, type EventLog, type GatewayWire,
@@ -58,7 +58,7 @@
 		settle(_reservation: TokenReservation, used: number) {
 			settled.push(used);
 		},
-	} as unknown as BudgetKeeper;
+	} as unknown as BudgetManager;
 	const admission = {enter: () => Ok(() => undefined)} as unknown as Admission;
 	const callers = createGatewayInterface({
 		wire, findTable: () => createRouteTable(deployment), keeper, admission, quarantine: {admit: () => Ok(undefined)}, forwarder: undefined as unknown as RequestForwarder,
--- a/src/daemon/gateway-interface.ts
+++ b/src/daemon/gateway-interface.ts
@@ -7,7 +7,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Socket} from 'node:net';
 import type {
-	Admission, BudgetKeeper, CallerAnswer, ForwardReport, ForwardRequest, Metrics, Quarantine, RequestForwarder,
+	Admission, BudgetManager, CallerAnswer, ForwardReport, ForwardRequest, Metrics, Quarantine, RequestForwarder,
 } from '../coordination/mod.js';
 import {
 	Err, Ok, createFailure, type GatewayCustomer, type EventLog, type Failure, type GatewayWire, type RequestFacts, type Result, type Route, type GatewayService,
@@ -24,7 +24,7 @@
 export type CreateGatewayInterfaceOptions = {
 	readonly wire: GatewayWire;
 	readonly findTable: () => RouteTable | undefined;
-	readonly keeper: BudgetKeeper;
+	readonly keeper: BudgetManager;
 	readonly forwarder: RequestForwarder;
 	readonly metrics: Metrics;
 	readonly clock: Clock;
@@ -128,7 +128,7 @@
 
 	function identify(table: RouteTable, route: Route, key: string | undefined): Result<GatewayCustomer | undefined, Failure> {
 		const customer = key === undefined ? undefined : table.findCustomerByKey(key);
-		const isAllowed = customer !== undefined || !table.needsKeys || route.isOpen;
+		const isAllowed = customer !== undefined || !table.shouldRequireKeys || route.isOpen;
 		return isAllowed
 			? Ok(customer)
 			: Err(createFailure('unknown-key', 'The request carries no key of a customer'));
@@ -168,7 +168,7 @@
 	async function reserve({facts, customer}: Admitted, span: number): Promise<Result<TokenReservation | undefined, Failure>> {
 		const {generation} = facts;
 		return generation && customer?.bought !== undefined
-			? keeper.acquire(customer.id, generation.promptTokens + generation.outputTokens, {patience: span * claimShare, request: facts.id})
+			? keeper.acquire(customer.id, generation.promptTokens + generation.outputTokens, {timeoutMs: span * claimShare, request: facts.id})
 			: Ok(undefined);
 	}
 
@@ -219,11 +219,11 @@
 		});
 		const labels = {customer: customer ?? '-', class: route.id};
 		if (report.result === 'served') {
-			metrics.noteServed(labels, {
+			metrics.recordServed(labels, {
 				firstMs: report.firstMs ?? 0, totalMs: clock.now() - startedAt, gapMs: 0, tokens: computeUsed(request, report),
 			});
 		} else {
-			metrics.noteRefused(labels, report.mayHaveRun ? 'outcome-unknown' : 'overloaded');
+			metrics.recordRefused(labels, report.mayHaveRun ? 'outcome-unknown' : 'overloaded');
 		}
 	}
 
@@ -257,7 +257,7 @@
 	}
 
 	async function serveInTurn(request: IncomingMessage, admitted: Admitted, serving: Serving): Promise<void> {
-		const entered = admission.enter({priority: findPriority(admitted), patience: findSpan(admitted)});
+		const entered = admission.admit({priority: findPriority(admitted), timeoutMs: findSpan(admitted)});
 		if (entered.err) {
 			refuse(serving, admitted.facts.id, entered.val);
 			return;
@@ -341,7 +341,7 @@
 				rawHeaders: request.rawHeaders,
 				body: body.val.length > 0 ? body.val : undefined,
 				generation: facts.generation,
-				lastEvent: facts.lastEvent,
+				lastEventId: facts.lastEvent,
 				startedAt,
 				deadline,
 				signal: leaving.signal,
@@ -399,7 +399,7 @@
 			} catch (error) {
 				// The caller broke off while its body was read, or the gateway is at fault; either way only this request ends.
 				events.write('requestFailed', {request: wire.readId(request.headers), detail: (error as Error).stack ?? String(error)});
-				answer.cut();
+				answer.abort();
 			} finally {
 				await waitUntilSent(request, response);
 				request.socket.off('end', noteEnd);
--- a/src/daemon/gateway-metrics.ts
+++ b/src/daemon/gateway-metrics.ts
@@ -18,7 +18,7 @@
 	/** Version of the deployment in force. */
 	readonly version: number;
 	readonly account: TokenAccount;
-	readonly admission: Pick<Admission, 'countBound' | 'countLag'>;
+	readonly admission: Pick<Admission, 'getLimit' | 'getLagMs'>;
 	readonly quarantine: Pick<Quarantine, 'listAll' | 'listHeld'>;
 	/** What callers have asked of this gateway. */
 	readonly work: CallerWork;
@@ -45,8 +45,8 @@
 		`fireflylane_requests_running ${running}`,
 		`fireflylane_deployment_version ${version}`,
 		`fireflylane_resident_bytes ${process.memoryUsage.rss()}`,
-		`fireflylane_event_loop_late_ms ${admission.countLag()}`,
-		`fireflylane_requests_bound ${Number.isFinite(admission.countBound()) ? Math.floor(admission.countBound()) : '+Inf'}`,
+		`fireflylane_event_loop_late_ms ${admission.getLagMs()}`,
+		`fireflylane_requests_bound ${Number.isFinite(admission.getLimit()) ? Math.floor(admission.getLimit()) : '+Inf'}`,
 		`fireflylane_connections_open ${work.open}`,
 		`fireflylane_connections_accepted_total ${work.connections}`,
 		`fireflylane_requests_begun_total ${work.requests}`,
@@ -65,5 +65,5 @@
 		}
 	}
 
-	return `${lines.join('\n')}\n${metrics.formatText()}`;
+	return `${lines.join('\n')}\n${metrics.formatPrometheusText()}`;
 }
--- a/src/daemon/gateway-peer-interface.ts
+++ b/src/daemon/gateway-peer-interface.ts
@@ -4,13 +4,13 @@
  * @module
  */
 import type {ServiceImpl} from '@connectrpc/connect';
-import type {CatchUpAnswer, CatchUpAsk, LendAsk} from '../coordination/mod.js';
+import type {CatchUpAnswer, CatchUpAsk, TokenLoanRequest} from '../coordination/mod.js';
 import type {Gateway} from '../protocol/mod.js';
 
 /** Options of {@linkcode createGatewayPeerInterface}. */
 export type CreateGatewayPeerInterfaceOptions = {
 	readonly answerCatchUp: (ask: CatchUpAsk) => CatchUpAnswer;
-	readonly lend: (ask: LendAsk) => Promise<number>;
+	readonly lend: (ask: TokenLoanRequest) => Promise<number>;
 };
 
 /**
--- a/src/daemon/gateway-state.test.ts
+++ b/src/daemon/gateway-state.test.ts
@@ -2,7 +2,7 @@
 import {expect, test} from 'vitest';
 import {createFakeKeyedLog, type FakeKeyedLog} from '../../tools/harness/fake-keyed-log.js';
 import {createVirtualTime} from '../../tools/measure/virtual-clock.js';
-import {createUpstreamBook} from '../coordination/mod.js';
+import {createUpstreamRegistry} from '../coordination/mod.js';
 import {
 	Err, Ok, createFailure, type EventLog, type GatewayService, type KeyedLog, type UpstreamEntry,
 } from '../protocol/mod.js';
@@ -67,7 +67,7 @@
 		onOwnGrants: () => undefined,
 		onQuarantine: () => undefined,
 	});
-	const book = createUpstreamBook({
+	const book = createUpstreamRegistry({
 		directory: state.directory, clock: time, failureDomain: 'd', sumPeerUse: upstream => ({upstream, inFlight: 0, waitingTokens: 0}),
 	});
 	state.run(stopper.signal);
@@ -102,7 +102,7 @@
 			put(id, undefined);
 		},
 		/** The upstreams that a request could be sent to now. */
-		listChoices: () => book.listCandidates({service, generation: undefined, without: new Set()}).map(({id}) => id),
+		listChoices: () => book.listCandidates({service, generation: undefined, excluded: new Set()}).map(({id}) => id),
 		stop() {
 			stopper.abort();
 		},
