--- a/src/daemon/gateway-state.ts
+++ b/src/daemon/gateway-state.ts
@@ -5,13 +5,13 @@
  * @module
  */
 import {
-	createKeyedFollower, createLapseGrace, formatHolderKey, isQuarantineKey, type HolderIdentity, type KeyedFollower,
+	createKeyedFollower, createExpiryGrace, formatHolderKey, isQuarantineKey, type HolderIdentity, type KeyedFollower,
 } from '../coordination/mod.js';
 import type {
 	Deployment, EventLog, GatewayWire, KeyedLog, StoredRecord, UpstreamEntry,
 } from '../protocol/mod.js';
 import {
-	createGrantBook, createRouteTable, createTokenAccount, createUpstreamDirectory, holderRecordSchema, type HolderRecord, type RouteTable,
+	createGrantRegistry, createRouteTable, createTokenAccount, createUpstreamDirectory, holderRecordSchema, type HolderRecord, type RouteTable,
 } from '../state/mod.js';
 import type {Clock} from '../transport/mod.js';
 
@@ -83,9 +83,9 @@
 	const {adapter, clock, events} = options;
 	const ownKey = formatHolderKey(options.self);
 	const directory = createUpstreamDirectory();
-	const book = createGrantBook();
+	const book = createGrantRegistry();
 	const account = createTokenAccount();
-	const grace = createLapseGrace({heartbeat: options.upstreamHeartbeat});
+	const grace = createExpiryGrace({heartbeatIntervalMs: options.upstreamHeartbeat});
 	let table: RouteTable | undefined;
 	let deploymentRecord = '';
 
@@ -115,9 +115,9 @@
 	function dropUpstream(key: string, offset: number): void {
 		const known = directory.get(key);
 		const now = clock.now();
-		directory.drop(key, grace.findEnd(now));
+		directory.drop(key, grace.findGraceEnd(now));
 		events.write('upstreamGone', {
-			upstream: key, service: known?.service, wasDraining: known?.isDraining, offset, sinceReadMs: upstreams.countSinceAnswer(), graceMs: directory.countGrace(key, now),
+			upstream: key, service: known?.service, wasDraining: known?.isDraining, offset, sinceReadMs: upstreams.computeStalenessMs(), graceMs: directory.computeRemainingGraceMs(key, now),
 		});
 	}
 
@@ -129,11 +129,11 @@
 
 		const entry = adapter.decodeUpstream(key, value);
 		const known = directory.get(key);
-		const wasOnGrace = directory.countGrace(key, clock.now()) > 0;
+		const wasOnGrace = directory.computeRemainingGraceMs(key, clock.now()) > 0;
 		directory.put(entry, clock.now());
 		if (known?.isDraining !== entry.isDraining || wasOnGrace) {
 			events.write('upstreamListed', {
-				upstream: key, service: entry.service, isDraining: entry.isDraining, offset, sinceReadMs: upstreams.countSinceAnswer(),
+				upstream: key, service: entry.service, isDraining: entry.isDraining, offset, sinceReadMs: upstreams.computeStalenessMs(),
 			});
 		}
 	}
@@ -165,20 +165,20 @@
 	};
 
 	const deployments = createKeyedFollower({
-		log: adapter.logs.deployment, clock, events, wait: deploymentWait, every: 0, patience: readPatience, onRecord: guard(takeDeployment),
+		log: adapter.logs.deployment, clock, events, longPollMs: deploymentWait, readIntervalMs: 0, readTimeoutMs: readPatience, onRecord: guard(takeDeployment),
 	});
 	const upstreams: KeyedFollower = createKeyedFollower({
-		log: adapter.logs.upstreams, clock, events, wait: 0, every: upstreamsEvery, patience: readPatience, onRecord: guard(takeUpstream),
-		listKeys: directory.listIds, onReturn: grace.noteReturn,
+		log: adapter.logs.upstreams, clock, events, longPollMs: 0, readIntervalMs: upstreamsEvery, readTimeoutMs: readPatience, onRecord: guard(takeUpstream),
+		listKnownKeys: directory.listIds, onRecovery: grace.recordOutage,
 	});
 	const grants = createKeyedFollower({
-		log: adapter.logs.grants, clock, events, wait: 0, every: grantsEvery, onRecord: guard(takeGrants),
+		log: adapter.logs.grants, clock, events, longPollMs: 0, readIntervalMs: grantsEvery, onRecord: guard(takeGrants),
 	});
 
 	return {
 		directory, book, account, grants,
 		/** Age of what is known of upstreams, in whole milliseconds; undefined while nothing is. */
-		countViewAge: () => upstreams.countSinceAnswer(),
+		countViewAge: () => upstreams.computeStalenessMs(),
 		findTable: () => table,
 		/** The record of the deployment in force, to hand on to peers. */
 		deploymentRecord: () => deploymentRecord,
--- a/src/daemon/operator-interface.ts
+++ b/src/daemon/operator-interface.ts
@@ -7,7 +7,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type restana from 'restana';
 import type {
-	Intents, LogFollower, LogWriter, Membership, Metrics, PlanView,
+	IntentManager, LogFollower, LogWriter, Membership, Metrics, PlanView,
 } from '../coordination/mod.js';
 import {
 	createFailure, intentSchema, isSameSecret, type EventLog, type Failure, type Result,
@@ -24,7 +24,7 @@
 	readonly events: EventLog;
 	readonly metrics: Metrics;
 	/** Set on entry daemons. */
-	readonly intents?: Intents;
+	readonly intents?: IntentManager;
 	/** Set on entry daemons. */
 	readonly holder?: GrantHolder;
 	readonly isReady: () => boolean;
@@ -85,13 +85,13 @@
 			remaining: ledger.computeRemaining(budget.id),
 			granted: granted.reduce((sum, grant) => sum + grant.amount, 0),
 			locked: granted.filter(grant => grant.waitsFor).reduce((sum, grant) => sum + grant.amount - grant.receipted, 0),
-			freeHere: holder?.countFree(budget.id) ?? 0,
-			reservedHere: holder?.countReserved(budget.id) ?? 0,
+			freeHere: holder?.countFreeTokens(budget.id) ?? 0,
+			reservedHere: holder?.countReservedTokens(budget.id) ?? 0,
 		};
 	}
 
 	function describeStatus() {
-		const {configuration, next} = follower.state();
+		const {configuration, getNextOffset} = follower.state();
 		return {
 			daemon: membership.self.id,
 			role: membership.self.role,
@@ -99,7 +99,7 @@
 			isLeaving: membership.self.isLeaving,
 			isReady: options.isReady(),
 			isLogUp: follower.isLogUp(),
-			nextOffset: next(),
+			nextOffset: getNextOffset(),
 			version: configuration.version(),
 			appends: writer.countAppends(),
 			figures: options.countFigures(),
@@ -190,7 +190,7 @@
 			});
 			service.get('/metrics', guard((_request, response) => {
 				response.setHeader('content-type', 'text/plain; version=0.0.4');
-				response.end(metrics.formatText());
+				response.end(metrics.formatPrometheusText());
 			}));
 			service.get('/v1/metrics', guard((_request, response) => {
 				sendJson(response, {rows: metrics.listRows()});
@@ -218,7 +218,7 @@
 			service.get('/v1/requests/:id', guard((request, response) => {
 				const id = request.params.id ?? '';
 				const {ledger, runs} = follower.state();
-				sendJson(response, {request: id, billed: ledger.findReceipt(id), run: runs.get(id)});
+				sendJson(response, {request: id, billed: ledger.findBilledCost(id), run: runs.get(id)});
 			}));
 			if (intents) {
 				addIntentRoutes(service);
--- a/src/daemon/peer-interface.ts
+++ b/src/daemon/peer-interface.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import {Code, ConnectError, type ServiceImpl} from '@connectrpc/connect';
-import type {LoanDesk, LogFollower, Self} from '../coordination/mod.js';
+import type {LoanManager, LogFollower, Self} from '../coordination/mod.js';
 import type {Peer} from '../protocol/mod.js';
 
 /** Load as told to peers. */
@@ -21,7 +21,7 @@
 	readonly self: Self;
 	readonly follower: LogFollower;
 	/** Set on entry daemons. */
-	readonly loans?: LoanDesk;
+	readonly loans?: LoanManager;
 	/** Set on upstream daemons. */
 	readonly tellLoad?: TellLoad;
 };
@@ -40,7 +40,7 @@
 export function createPeerInterface(options: CreatePeerInterfaceOptions): ServiceImpl<typeof Peer> {
 	const {self, follower, loans} = options;
 
-	function requireLoans(): LoanDesk {
+	function requireLoans(): LoanManager {
 		if (!loans) {
 			throw new ConnectError(`Daemon "${self.id}" holds no grants`, Code.Unimplemented);
 		}
@@ -56,7 +56,7 @@
 				incarnation: self.incarnation,
 				role: self.role,
 				leaving: self.isLeaving,
-				nextOffset: state.next(),
+				nextOffset: state.getNextOffset(),
 				version: state.configuration.version(),
 				load: options.tellLoad?.(),
 			};
@@ -66,7 +66,7 @@
 			const relayed = follower.listRecent(request.from);
 			return {
 				first: relayed.entries[0]?.offset ?? 0,
-				next: follower.state().next(),
+				next: follower.state().getNextOffset(),
 				records: relayed.entries.map(entry => JSON.stringify(entry)),
 				snapshot: relayed.snapshot ? JSON.stringify(relayed.snapshot) : '',
 			};
@@ -78,7 +78,7 @@
 		},
 
 		repay(request) {
-			requireLoans().takeRepayment(request.loan, request.unspent);
+			requireLoans().acceptRepayment(request.loan, request.unspent);
 			return {};
 		},
 	};
--- a/src/daemon/quarantine-interface.test.ts
+++ b/src/daemon/quarantine-interface.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from 'vitest';
 import {createQuarantine} from '../coordination/mod.js';
 import type {EventLog} from '../protocol/mod.js';
-import {createCrashBook} from '../state/mod.js';
+import {createCrashRegistry} from '../state/mod.js';
 import {createSystemClock, startHttpServer} from '../transport/mod.js';
 import {addQuarantineRoutes} from './quarantine-interface.js';
 
@@ -9,7 +9,7 @@
 
 async function startGateway(operatorKey: string) {
 	const quarantine = createQuarantine({
-		book: createCrashBook(), daemon: 'g', listPeers: () => [], clock: createSystemClock(), events, onChange: () => undefined, onCrash: () => undefined,
+		book: createCrashRegistry(), daemon: 'g', listPeers: () => [], clock: createSystemClock(), events, onChange: () => undefined, onCrash: () => undefined,
 	});
 	for (let crash = 0; crash < 3; crash += 1) {
 		quarantine.begin('d1').noteCrash('u');
--- a/src/daemon/upstream-daemon.ts
+++ b/src/daemon/upstream-daemon.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import {
-	createModelRunner, createOrderSender, createReceiptReporter, createServiceRunner, createUpstreamDesk, createWorkQueue,
+	createModelRunner, createOrderSender, createReceiptReporter, createServiceRunner, createRequestExecutor, createWorkQueue,
 } from '../coordination/mod.js';
 import {Peer, Upstream, type UpstreamSettings} from '../protocol/mod.js';
 import {createRequestTable} from '../state/mod.js';
@@ -27,10 +27,10 @@
 		self, follower, writer, clock, events,
 	} = core;
 	const {upstream} = settings;
-	const table = createRequestTable({bytes: settings.answers});
-	const queue = createWorkQueue({capacity: upstream.capacity, limit: upstream.queue, clock});
+	const table = createRequestTable({maxAnswerBytes: settings.answers});
+	const queue = createWorkQueue({maxRunning: upstream.capacity, maxWaiting: upstream.queue, clock});
 	const reporter = createReceiptReporter({
-		self, follower, writer, table, clock, events, every: settings.receipts.every,
+		self, follower, writer, table, clock, events, intervalMs: settings.receipts.every,
 	});
 	const engine = upstream.work === 'model' ? createEngineClient({url: upstream.url, silence: upstream.silence}) : undefined;
 	const client = upstream.work === 'service' ? createServiceClient(upstream.url) : undefined;
@@ -40,7 +40,7 @@
 	const services = client && createServiceRunner({
 		self, client, follower, writer, reporter, clock, events,
 	});
-	const desk = createUpstreamDesk({
+	const desk = createRequestExecutor({
 		self, table, queue, follower, reporter, models, services, clock, events,
 	});
 	const watch = createUpstreamWatch({
@@ -91,7 +91,7 @@
 		operatorKey: core.operatorKey, follower, writer, membership, events, metrics,
 		isReady: () => enrolment.isJoined() && !self.isLeaving,
 		countFigures: () => ({
-			running: table.countRunning(), queued: queue.countWaiting(), answerBytes: table.countFinishedBytes(), receiptsWaiting: reporter.countWaiting(),
+			running: table.countRunning(), queued: queue.countWaiting(), answerBytes: table.countFinishedBytes(), receiptsWaiting: reporter.countUnreported(),
 		}),
 	});
 	const operatorServer = await startHttpServer(settings.listen.operators, operators.addRoutes);
--- a/src/daemon/upstream-interface.ts
+++ b/src/daemon/upstream-interface.ts
@@ -5,7 +5,7 @@
  */
 import type {MessageInitShape} from '@bufbuild/protobuf';
 import type {HandlerContext, ServiceImpl} from '@connectrpc/connect';
-import type {Self, UpstreamDesk} from '../coordination/mod.js';
+import type {Self, RequestExecutor} from '../coordination/mod.js';
 import type {
 	Failure, RunFrameSchema, RunRequest, Upstream,
 } from '../protocol/mod.js';
@@ -44,7 +44,7 @@
  * @param desk Its requests
  * @returns The service
  */
-export function createUpstreamInterface(self: Self, desk: UpstreamDesk): ServiceImpl<typeof Upstream> {
+export function createUpstreamInterface(self: Self, desk: RequestExecutor): ServiceImpl<typeof Upstream> {
 	async function * followRequest(run: RunRequest, request: TrackedRequest): AsyncGenerator<Frame> {
 		const name = {requestId: run.requestId, attempt: run.attempt};
 		yield {...name, body: {case: 'accepted', value: {upstream: self.id, incarnation: request.incarnation}}};
--- a/src/state/configuration.ts
+++ b/src/state/configuration.ts
@@ -242,7 +242,7 @@
 		},
 
 		/** Returns a sentence for each change that cannot be applied; empty if all can. */
-		listRefusals: listViolations,
+		listViolations: listViolations,
 		findPlan: (id: string): Readonly<Plan> | undefined => plans.get(id),
 		listPlans: (): Iterable<Readonly<Plan>> => plans.values(),
 		findKey: (digest: string): CallerKey | undefined => keys.get(digest),
--- a/src/state/crash-registry.test.ts
+++ b/src/state/crash-registry.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
-import {createCrashBook, type CrashBook, type CrashRecord} from './mod.js';
+import {createCrashRegistry, type CrashRegistry, type CrashRecord} from './mod.js';
 
 const recordArbitrary = fc.record({digest: fc.constantFrom('a', 'b'), round: fc.nat(3), crashes: fc.nat(4)});
 
@@ -8,25 +8,25 @@
 	return records.map(({digest, round, crashes}) => ({digest, round, crashes})).sort((left, right) => left.digest < right.digest ? -1 : 1);
 }
 
-function recordCrashes(registry: CrashBook, digest: string, count: number): void {
+function recordCrashes(registry: CrashRegistry, digest: string, count: number): void {
 	for (let crash = 0; crash < count; crash += 1) {
-		registry.noteCrash(digest, {before: registry.get(digest), now: 0});
+		registry.recordCrash(digest, {before: registry.get(digest), now: 0});
 	}
 }
 
 test('registries that merged the same records in any order agree', () => {
 	fc.assert(fc.property(fc.array(recordArbitrary), fc.array(fc.nat()), (records, keys) => {
-		const registry = createCrashBook();
-		const otherRegistry = createCrashBook();
+		const registry = createCrashRegistry();
+		const otherRegistry = createCrashRegistry();
 		// A registry does not store records without crashes of unknown requests, so both requests start with a crash.
 		const known = [{digest: 'a', round: 0, crashes: 1}, {digest: 'b', round: 0, crashes: 1}, ...records];
 		const shuffled = known.map((record, index) => ({record, key: keys[index] ?? 0})).sort((left, right) => left.key - right.key).map(({record}) => record);
 		for (const record of known) {
-			registry.take(record, 0);
+			registry.merge(record, 0);
 		}
 
 		for (const record of [...known.slice(0, 2), ...shuffled, ...shuffled]) {
-			otherRegistry.take(record, 0);
+			otherRegistry.merge(record, 0);
 		}
 
 		expect(listSortedRecords(registry.list())).toEqual(listSortedRecords(otherRegistry.list()));
@@ -34,42 +34,42 @@
 });
 
 test('a crash during a run that began before the last crash was known is not counted again', () => {
-	const registry = createCrashBook();
-	registry.noteCrash('a', {before: undefined, now: 0});
-	expect(registry.noteCrash('a', {before: undefined, now: 5})).toBe(false);
+	const registry = createCrashRegistry();
+	registry.recordCrash('a', {before: undefined, now: 0});
+	expect(registry.recordCrash('a', {before: undefined, now: 5})).toBe(false);
 	expect(registry.count('a')).toBe(1);
-	registry.noteCrash('a', {before: registry.get('a'), now: 10});
+	registry.recordCrash('a', {before: registry.get('a'), now: 10});
 	expect(registry.count('a')).toBe(2);
 });
 
 test('a crash during a run that began before an answer counts as the first crash', () => {
-	const registry = createCrashBook();
+	const registry = createCrashRegistry();
 	recordCrashes(registry, 'a', 2);
 	const before = registry.get('a');
-	registry.noteAnswered('a', 5);
-	registry.noteCrash('a', {before, now: 10});
+	registry.recordAnswer('a', 5);
+	registry.recordCrash('a', {before, now: 10});
 	expect(registry.count('a')).toBe(1);
 });
 
 test('an answer resets the count and takes precedence over older records', () => {
-	const registry = createCrashBook();
-	const otherRegistry = createCrashBook();
+	const registry = createCrashRegistry();
+	const otherRegistry = createCrashRegistry();
 	recordCrashes(registry, 'a', 3);
-	otherRegistry.take(registry.get('a')!, 0);
-	registry.noteAnswered('a', 10);
-	expect(registry.take(otherRegistry.get('a')!, 20)).toBe(false);
+	otherRegistry.merge(registry.get('a')!, 0);
+	registry.recordAnswer('a', 10);
+	expect(registry.merge(otherRegistry.get('a')!, 20)).toBe(false);
 	expect(registry.count('a')).toBe(0);
-	expect(otherRegistry.take(registry.get('a')!, 20)).toBe(true);
+	expect(otherRegistry.merge(registry.get('a')!, 20)).toBe(true);
 	expect(otherRegistry.count('a')).toBe(0);
 });
 
 // Memory must not grow with each request that a caller varies by a byte.
 test('a full registry evicts the records with the fewest crashes first', () => {
-	const registry = createCrashBook({maxRecords: 10});
+	const registry = createCrashRegistry({maxRecords: 10});
 	recordCrashes(registry, 'held', 3);
 
 	for (let index = 0; index < 100; index += 1) {
-		registry.noteCrash(`varied-${index}`, {before: undefined, now: index + 1});
+		registry.recordCrash(`varied-${index}`, {before: undefined, now: index + 1});
 	}
 
 	expect(registry.list()).toHaveLength(10);
@@ -79,10 +79,10 @@
 });
 
 test('prune() deletes records unchanged for an hour, and those of answered requests after a minute', () => {
-	const registry = createCrashBook();
+	const registry = createCrashRegistry();
 	recordCrashes(registry, 'a', 1);
 	recordCrashes(registry, 'b', 1);
-	registry.noteAnswered('b', 0);
+	registry.recordAnswer('b', 0);
 	registry.prune(60_001);
 	expect(registry.get('b')).toBeUndefined();
 	expect(registry.count('a')).toBe(1);
--- a/src/state/crash-registry.ts
+++ b/src/state/crash-registry.ts
@@ -26,14 +26,14 @@
 /** A crash record with the local time of its last change. */
 export type TrackedCrashRecord = CrashRecord & {readonly changedAt: number};
 
-/** Options of {@linkcode createCrashBook}. */
+/** Options of {@linkcode createCrashRegistry}. */
 export type CreateCrashRegistryOptions = {
 	/** Maximum number of records; default 1000. */
 	readonly maxRecords?: number;
 };
 
 /** Registry of requests during which upstreams crashed. */
-export type CrashBook = ReturnType<typeof createCrashBook>;
+export type CrashRegistry = ReturnType<typeof createCrashRegistry>;
 
 /** Takes about 150 KB. */
 const defaultMaxRecords = 1000;
@@ -57,15 +57,15 @@
  *
  * @example
  * ```ts
- * const registry = createCrashBook();
- * registry.noteCrash('9c41d07b', {before: undefined, now: 1200});
+ * const registry = createCrashRegistry();
+ * registry.recordCrash('9c41d07b', {before: undefined, now: 1200});
  * registry.count('9c41d07b'); // 1
  * ```
  *
  * @param options The maximum number of records
  * @returns The registry
  */
-export function createCrashBook({maxRecords = defaultMaxRecords}: CreateCrashRegistryOptions = {}) {
+export function createCrashRegistry({maxRecords = defaultMaxRecords}: CreateCrashRegistryOptions = {}) {
 	const records = new Map<string, TrackedCrashRecord>();
 
 	// A caller that varies a byte in each request could fill the memory. Evicts the records with the fewest crashes, oldest first.
@@ -96,26 +96,26 @@
 		 * Records a crash during a run; `before` is the record that was known
 		 * when the run began. Returns true if the record has changed.
 		 */
-		noteCrash(digest: string, {before, now}: {readonly before: CrashRecord | undefined; readonly now: number}): boolean {
+		recordCrash(digest: string, {before, now}: {readonly before: CrashRecord | undefined; readonly now: number}): boolean {
 			const round = records.get(digest)?.round ?? 0;
 			const previousCrashes = before?.round === round ? before.crashes : 0;
 			return mergeRecord({digest, round, crashes: previousCrashes + 1}, now);
 		},
 
 		/** Records a complete answer; returns true if the record has changed. */
-		noteAnswered(digest: string, now: number): boolean {
+		recordAnswer(digest: string, now: number): boolean {
 			const known = records.get(digest);
 			return known !== undefined && known.crashes > 0 && mergeRecord({digest, round: known.round + 1, crashes: 0}, now);
 		},
 
 		/** Records a trial of a held request: gateways that learn of it wait for the outcome. Returns true if the record has changed. */
-		noteTrial(digest: string, now: number): boolean {
+		recordTrial(digest: string, now: number): boolean {
 			const known = records.get(digest);
 			return known !== undefined && mergeRecord({digest, round: known.round + 1, crashes: known.crashes}, now);
 		},
 
 		/** Merges a record received from elsewhere; returns true if the record has changed. */
-		take: mergeRecord,
+		merge: mergeRecord,
 
 		/** Returns all records, those with the most crashes first, then the newest. */
 		list: (): TrackedCrashRecord[] => [...records.values()].sort(compareRecords),
--- a/src/state/fleet-state.ts
+++ b/src/state/fleet-state.ts
@@ -5,7 +5,7 @@
  */
 import {recordSchema, type LogEntry, type LogRecord} from '../protocol/mod.js';
 import {createConfiguration, type ConfigurationSnapshot} from './configuration.js';
-import {createLedger, formatIncarnation, type LedgerSnapshot} from './ledger.js';
+import {createLedger, formatIncarnationId, type LedgerSnapshot} from './ledger.js';
 import {createPlacement, type EndedIncarnation, type PlacementSnapshot} from './placement.js';
 import {createRunRegistry, type RunRegistrySnapshot} from './run-registry.js';
 
@@ -21,7 +21,7 @@
 /** Options of {@linkcode createFleetState}. */
 export type CreateFleetStateOptions = {
 	/** How long receipts and runs are kept, in milliseconds by the log's clock. */
-	readonly window: number;
+	readonly retentionMs: number;
 	/** Snapshot to start from; default empty. */
 	readonly snapshot?: FleetSnapshot;
 };
@@ -37,16 +37,16 @@
  *
  * @example
  * ```ts
- * const fleet = createFleetState({window: 3_600_000});
+ * const fleet = createFleetState({retentionMs: 3_600_000});
  * fleet.fold({offset: 0, at: 0, data: {kind: 'confirm', plan: 'p', by: 'ana'}}); // 'folded'
- * fleet.next(); // 1
+ * fleet.getNextOffset(); // 1
  * ```
  *
  * @param options The retention period and a snapshot to start from
  * @returns The state
  */
 export function createFleetState(options: CreateFleetStateOptions) {
-	const {window: retentionMs, snapshot} = options;
+	const {retentionMs: retentionMs, snapshot} = options;
 	let nextOffset = snapshot?.next ?? 0;
 	const ledger = createLedger({retentionMs, snapshot: snapshot?.ledger});
 	const configuration = createConfiguration(snapshot?.configuration);
@@ -60,7 +60,7 @@
 
 		const {daemon, incarnation, role} = endedIncarnation.member;
 		if (role === 'upstream') {
-			ledger.foldEnd(formatIncarnation(daemon, incarnation), endedIncarnation.graceful);
+			ledger.foldEnd(formatIncarnationId(daemon, incarnation), endedIncarnation.graceful);
 			return;
 		}
 
@@ -159,7 +159,7 @@
 		placement,
 		runs,
 		/** Returns the offset of the next record to fold. */
-		next: () => nextOffset,
+		getNextOffset: () => nextOffset,
 		fold(entry: LogEntry): FoldOutcome {
 			// Records arrive both from the log and from peers, so some arrive twice.
 			if (entry.offset < nextOffset) {
--- a/src/state/grant-holder.ts
+++ b/src/state/grant-holder.ts
@@ -11,7 +11,7 @@
 import type {GrantShare} from '../protocol/mod.js';
 
 /** Tokens that this daemon may spend: its own grant, or a loan from a peer's grant. */
-export type Source = {
+export type TokenSource = {
 	readonly grant: string;
 	readonly budget: string;
 	/** Tokens that are not reserved, spent or lent. */
@@ -31,7 +31,7 @@
 	readonly amount: number;
 	readonly shares: readonly GrantShare[];
 	/** True after the first settlement; further settlements have no effect. */
-	settled: boolean;
+	isSettled: boolean;
 };
 
 /** Options of {@linkcode GrantHolder.add}. */
@@ -53,7 +53,7 @@
 export type GrantHolder = ReturnType<typeof createGrantHolder>;
 
 /** @internal */
-function takeFreeTokens(sources: Iterable<Source>, amount: number, onTake?: (source: Source, taken: number) => void): GrantShare[] {
+function takeFreeTokens(sources: Iterable<TokenSource>, amount: number, onTake?: (source: TokenSource, taken: number) => void): GrantShare[] {
 	const amountByGrant = new Map<string, number>();
 	let remaining = amount;
 	for (const source of sources) {
@@ -78,25 +78,25 @@
  * holder.add('g-1@b1', {budget: 'b1', amount: 1000});
  * const reservation = holder.reserve('b1', 400);
  * holder.settle(reservation!, [{grant: 'g-1@b1', amount: 150}]);
- * holder.countFree('b1'); // 850
+ * holder.countFreeTokens('b1'); // 850
  * ```
  *
  * @returns The holder
  */
 export function createGrantHolder() {
 	const events = new Emittery<HolderEvents>();
-	const sourcesByBudget = new Map<string, Map<string, Source>>();
-	const sourcesByGrant = new Map<string, Source[]>();
+	const sourcesByBudget = new Map<string, Map<string, TokenSource>>();
+	const sourcesByGrant = new Map<string, TokenSource[]>();
 
 	function formatSourceKey(grant: string, loan: string | undefined): string {
 		return loan ? `${grant}#${loan}` : grant;
 	}
 
-	function listSources(budget: string): Source[] {
+	function listSources(budget: string): TokenSource[] {
 		return [...sourcesByBudget.get(budget)?.values() ?? []];
 	}
 
-	function sumSources(budget: string, getAmount: (source: Source) => number): number {
+	function sumSources(budget: string, getAmount: (source: TokenSource) => number): number {
 		let total = 0;
 		for (const source of sourcesByBudget.get(budget)?.values() ?? []) {
 			total += getAmount(source);
@@ -132,14 +132,14 @@
 		add(grant: string, options: AddSourceOptions): void {
 			const {budget, amount, lender, loan} = options;
 			const sourceKey = formatSourceKey(grant, loan);
-			const budgetSources = sourcesByBudget.get(budget) ?? new Map<string, Source>();
+			const budgetSources = sourcesByBudget.get(budget) ?? new Map<string, TokenSource>();
 			sourcesByBudget.set(budget, budgetSources);
 			// The reply to a loan request may arrive twice; its identifier prevents the loan from being added twice.
 			if (budgetSources.has(sourceKey)) {
 				return;
 			}
 
-			const source: Source = {
+			const source: TokenSource = {
 				grant, budget, free: amount, reserved: 0, lent: 0, lender, loan,
 			};
 			budgetSources.set(sourceKey, source);
@@ -148,7 +148,7 @@
 		},
 
 		/** Removes a grant that was closed or used up, and all loans from it. */
-		drop(grant: string): void {
+		removeGrant(grant: string): void {
 			for (const source of sourcesByGrant.get(grant) ?? []) {
 				sourcesByBudget.get(source.budget)?.delete(formatSourceKey(grant, source.loan));
 				emitFreed(source.budget);
@@ -158,7 +158,7 @@
 		},
 
 		/** Removes one loan. */
-		dropLoan(source: Source): void {
+		removeLoan(source: TokenSource): void {
 			sourcesByBudget.get(source.budget)?.delete(formatSourceKey(source.grant, source.loan));
 			sourcesByGrant.set(source.grant, (sourcesByGrant.get(source.grant) ?? []).filter(other => other !== source));
 		},
@@ -174,17 +174,17 @@
 				source.reserved += taken;
 			});
 			return {
-				budget, amount, shares, settled: false,
+				budget, amount, shares, isSettled: false,
 			};
 		},
 
 		/** Ends a reservation; tokens that were not billed become free again. */
 		settle(reservation: Reservation, billed: readonly GrantShare[]): void {
-			if (reservation.settled) {
+			if (reservation.isSettled) {
 				return;
 			}
 
-			reservation.settled = true;
+			reservation.isSettled = true;
 			for (const share of reservation.shares) {
 				const spent = billed.filter(item => item.grant === share.grant).reduce((total, item) => total + item.amount, 0);
 				releaseShare(share, Math.max(0, share.amount - spent));
@@ -223,7 +223,7 @@
 		has: (grant: string): boolean => sourcesByGrant.has(grant),
 		listSources,
 		listBudgets: (): string[] => [...sourcesByBudget.keys()],
-		countFree: (budget: string): number => sumSources(budget, source => source.free),
-		countReserved: (budget: string): number => sumSources(budget, source => source.reserved),
+		countFreeTokens: (budget: string): number => sumSources(budget, source => source.free),
+		countReservedTokens: (budget: string): number => sumSources(budget, source => source.reserved),
 	};
 }
--- a/src/state/grant-registry.test.ts
+++ b/src/state/grant-registry.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
-import {createGrantBook, type HolderRecord} from './mod.js';
+import {createGrantRegistry, type HolderRecord} from './mod.js';
 
 const customers = ['c1', 'c2'];
 
@@ -17,7 +17,7 @@
 		daemon: fc.constantFrom('e1', 'e2', 'e3'), c1: fc.nat(1000), c2: fc.option(fc.nat(1000)), version: fc.nat(9),
 	});
 	fc.assert(fc.property(fc.array(change), changes => {
-		const registry = createGrantBook();
+		const registry = createGrantRegistry();
 		for (const {daemon, c1, c2, version} of changes) {
 			registry.put(daemon, buildRecord(daemon, c2 === null ? {c1} : {c1, c2}, {version}));
 		}
@@ -34,7 +34,7 @@
 });
 
 test('listRunning() omits a holder that has stopped', () => {
-	const registry = createGrantBook();
+	const registry = createGrantRegistry();
 	registry.put('e1', buildRecord('e1', {}));
 	expect(registry.listRunning().map(({daemon}) => daemon)).toEqual(['e1']);
 	registry.put('e1', buildRecord('e1', {}, {hasEnded: true}));
--- a/src/state/grant-registry.ts
+++ b/src/state/grant-registry.ts
@@ -41,21 +41,21 @@
 export type HolderRecord = z.infer<typeof holderRecordSchema>;
 
 /** Registry of the tokens granted to every gateway. */
-export type GrantBook = ReturnType<typeof createGrantBook>;
+export type GrantRegistry = ReturnType<typeof createGrantRegistry>;
 
 /**
  * Creates an empty registry.
  *
  * @example
  * ```ts
- * const registry = createGrantBook();
+ * const registry = createGrantRegistry();
  * registry.put('entry-1/i-9', record);
  * registry.sumGranted('city-1');
  * ```
  *
  * @returns The registry
  */
-export function createGrantBook() {
+export function createGrantRegistry() {
 	const holders = new Map<string, HolderRecord>();
 	const grantedByCustomer = new Map<string, number>();
 	let newestVersion = Number.NEGATIVE_INFINITY;
--- a/src/state/ledger.ts
+++ b/src/state/ledger.ts
@@ -67,14 +67,14 @@
  *
  * @example
  * ```ts
- * formatIncarnation('entry-1', 'i-9'); // 'entry-1/i-9'
+ * formatIncarnationId('entry-1', 'i-9'); // 'entry-1/i-9'
  * ```
  *
  * @param daemon The daemon's name
  * @param incarnation The identifier of one run of its process
  * @returns The identifier, `daemon/incarnation`
  */
-export function formatIncarnation(daemon: string, incarnation: string): string {
+export function formatIncarnationId(daemon: string, incarnation: string): string {
 	return `${daemon}/${incarnation}`;
 }
 
@@ -86,14 +86,14 @@
  *
  * @example
  * ```ts
- * formatGrant('g-1', 'b1'); // 'g-1@b1'
+ * formatGrantId('g-1', 'b1'); // 'g-1@b1'
  * ```
  *
  * @param id A unique identifier
  * @param budget The budget's identifier, which contains no `@`
  * @returns The grant's identifier
  */
-export function formatGrant(id: string, budget: string): string {
+export function formatGrantId(id: string, budget: string): string {
 	return `${id}${budgetSeparator}${budget}`;
 }
 
@@ -269,7 +269,7 @@
 		},
 
 		foldReport(record: RecordOf<'report'>): void {
-			const reporter = formatIncarnation(record.daemon, record.incarnation);
+			const reporter = formatIncarnationId(record.daemon, record.incarnation);
 			for (const id of record.grants) {
 				const grant = grants.get(id);
 				if (grant?.waitsFor) {
@@ -295,7 +295,7 @@
 		},
 
 		foldReceipts(record: RecordOf<'receipts'>, timestampMs: number): void {
-			const incarnation = formatIncarnation(record.daemon, record.incarnation);
+			const incarnation = formatIncarnationId(record.daemon, record.incarnation);
 			// A batch is appended again if the answer to its append is lost; the duplicate would be refunded like requests that ran twice.
 			if (record.sequence <= (batches.get(incarnation) ?? 0)) {
 				return;
@@ -323,7 +323,7 @@
 		listGrants: (): Iterable<Readonly<GrantState>> => grants.values(),
 		listBudgets: (): Iterable<Readonly<BudgetState>> => budgets.values(),
 		/** Returns the tokens billed for a request, or undefined if it has no receipt. */
-		findReceipt: (request: string): number | undefined => receipts.get(request)?.cost,
+		findBilledCost: (request: string): number | undefined => receipts.get(request)?.cost,
 		/** Returns the cost of one attempt at a request according to its receipt, or 0 without a receipt. */
 		findAttemptCost(request: string, attempt: number): number {
 			const receipt = receipts.get(request);
@@ -332,7 +332,7 @@
 		},
 
 		/** Returns the number of the last batch of receipts folded for an incarnation, or 0. */
-		findLastBatch: (incarnation: string): number => batches.get(incarnation) ?? 0,
+		findLastBatchSequence: (incarnation: string): number => batches.get(incarnation) ?? 0,
 		hasRelease: (id: string): boolean => releases.has(id),
 		/** Returns the tokens of a budget that are not granted. */
 		computeRemaining,
--- a/src/state/peer-views.test.ts
+++ b/src/state/peer-views.test.ts
@@ -11,17 +11,17 @@
 test('an entry is new only once, and never after a newer entry', () => {
 	const views = createPeerViews();
 	views.put(buildView('e1', 'b', []), {sequence: 5, now: 0});
-	expect(views.isNews({daemon: 'e1', incarnation: 'b', sequence: 5})).toBe(false);
-	expect(views.isNews({daemon: 'e1', incarnation: 'b', sequence: 6})).toBe(true);
-	expect(views.isNews({daemon: 'e1', incarnation: 'a', sequence: 9})).toBe(false);
-	expect(views.isNews({daemon: 'e1', incarnation: 'c', sequence: 1})).toBe(true);
+	expect(views.isNewer({daemon: 'e1', incarnation: 'b', sequence: 5})).toBe(false);
+	expect(views.isNewer({daemon: 'e1', incarnation: 'b', sequence: 6})).toBe(true);
+	expect(views.isNewer({daemon: 'e1', incarnation: 'a', sequence: 9})).toBe(false);
+	expect(views.isNewer({daemon: 'e1', incarnation: 'c', sequence: 1})).toBe(true);
 });
 
 test('views older than the limit are deleted and their requests subtracted from the sums', () => {
 	const views = createPeerViews();
 	views.put(buildView('e1', 'a', [{upstream: 'u', inFlight: 2, waitingTokens: 10}]), {sequence: 1, now: 0});
 	views.put(buildView('e2', 'a', [{upstream: 'u', inFlight: 1, waitingTokens: 5}]), {sequence: 1, now: 100});
-	expect(views.dropOlder(50)).toEqual(['e1']);
+	expect(views.dropStale(50)).toEqual(['e1']);
 	expect(views.sumUse('u')).toEqual({upstream: 'u', inFlight: 1, waitingTokens: 5});
 });
 
@@ -34,7 +34,7 @@
 		for (const [now, {daemon, uses, isDropped}] of changes.entries()) {
 			views.put(buildView(daemon, 'a', uses), {sequence: now, now});
 			if (isDropped) {
-				views.dropOlder(now);
+				views.dropStale(now);
 			}
 		}
 
--- a/src/state/peer-views.ts
+++ b/src/state/peer-views.ts
@@ -41,7 +41,7 @@
 type ReceivedView = {readonly view: PeerView; readonly sequence: number; readonly at: number};
 
 /** Identifies the gossip entry that a view was received in. */
-export type EntryNumber = {readonly daemon: string; readonly incarnation: string; readonly sequence: number};
+export type PeerEntryId = {readonly daemon: string; readonly incarnation: string; readonly sequence: number};
 
 /**
  * Creates an empty collection.
@@ -79,7 +79,7 @@
 
 	return {
 		/** Returns true if an entry is newer than the stored view of its gateway. */
-		isNews({daemon, incarnation, sequence}: EntryNumber): boolean {
+		isNewer({daemon, incarnation, sequence}: PeerEntryId): boolean {
 			const item = receivedViews.get(daemon);
 			return item === undefined || incarnation > item.view.incarnation || (incarnation === item.view.incarnation && sequence > item.sequence);
 		},
@@ -100,7 +100,7 @@
 		}),
 
 		/** Deletes views received before `minReceivedAt` and returns the names of their gateways. */
-		dropOlder(minReceivedAt: number): string[] {
+		dropStale(minReceivedAt: number): string[] {
 			const staleDaemons = [...receivedViews].filter(([, {at}]) => at < minReceivedAt).map(([daemon]) => daemon);
 			for (const daemon of staleDaemons) {
 				drop(daemon);
--- a/src/state/placement.ts
+++ b/src/state/placement.ts
@@ -8,7 +8,7 @@
  * @module
  */
 import type {Join, RecordOf} from '../protocol/mod.js';
-import {formatIncarnation} from './ledger.js';
+import {formatIncarnationId} from './ledger.js';
 
 /** The current incarnation of a daemon. */
 export type Member = Join & {offset: number};
@@ -68,7 +68,7 @@
 		get: (daemon: string): Readonly<Member> | undefined => members.get(daemon),
 		list: (): Iterable<Readonly<Member>> => members.values(),
 		listUpstreams,
-		listUpstreamIncarnations: (): string[] => listUpstreams().map(member => formatIncarnation(member.daemon, member.incarnation)),
+		listUpstreamIncarnations: (): string[] => listUpstreams().map(member => formatIncarnationId(member.daemon, member.incarnation)),
 		buildSnapshot: (): PlacementSnapshot => ({members: [...members.values()]}),
 	};
 }
--- a/src/state/prompt-cache.ts
+++ b/src/state/prompt-cache.ts
@@ -31,8 +31,8 @@
  * @example
  * ```ts
  * const cache = createPromptCache();
- * cache.note('i-7', [{id: 'a', tokens: 900}, {id: 'b', tokens: 100}], 300_000);
- * cache.countCached('i-7', [{id: 'a', tokens: 900}, {id: 'c', tokens: 50}]); // 900
+ * cache.recordPrompt('i-7', [{id: 'a', tokens: 900}, {id: 'b', tokens: 100}], 300_000);
+ * cache.countCachedTokens('i-7', [{id: 'a', tokens: 900}, {id: 'c', tokens: 50}]); // 900
  * ```
  *
  * @returns The estimate
@@ -59,7 +59,7 @@
 
 	return {
 		/** Records that an upstream reads a prompt; `memoryTokens` is the capacity of the upstream's memory. */
-		note(upstream: string, parts: readonly PromptPart[], memoryTokens: number): void {
+		recordPrompt(upstream: string, parts: readonly PromptPart[], memoryTokens: number): void {
 			const cache = ensureCache(upstream);
 			cache.memory = memoryTokens;
 			for (const {id, tokens} of parts) {
@@ -73,7 +73,7 @@
 		},
 
 		/** Returns the tokens of a prompt that an upstream need not read: those of its parts before the first uncached one. */
-		countCached(upstream: string, parts: readonly PromptPart[]): number {
+		countCachedTokens(upstream: string, parts: readonly PromptPart[]): number {
 			const cache = caches.get(upstream);
 			let cachedTokens = 0;
 			for (const {id, tokens} of parts) {
--- a/src/state/receipt-queue.ts
+++ b/src/state/receipt-queue.ts
@@ -9,7 +9,7 @@
 export type ReceiptBatch = {readonly sequence: number; readonly receipts: readonly Receipt[]};
 
 /** Queue of receipts to be appended to the log. */
-export type ReceiptBook = ReturnType<typeof createReceiptBook>;
+export type ReceiptQueue = ReturnType<typeof createReceiptQueue>;
 
 const maxBatchReceipts = 500;
 
@@ -18,14 +18,14 @@
  *
  * @example
  * ```ts
- * const queue = createReceiptBook();
+ * const queue = createReceiptQueue();
  * queue.add({request: 'r-1', attempt: 1, shares: [{grant: 'g-1@b1', amount: 150}]});
  * queue.peek()?.sequence; // 1
  * ```
  *
  * @returns The queue
  */
-export function createReceiptBook() {
+export function createReceiptQueue() {
 	const pending: Receipt[] = [];
 	let sequence = 0;
 	let batch: ReceiptBatch | undefined;
--- a/src/state/request-table.test.ts
+++ b/src/state/request-table.test.ts
@@ -7,7 +7,7 @@
 };
 
 test('close() evicts the oldest answers over the limit and keeps their bills', () => {
-	const table = createRequestTable({bytes: 10});
+	const table = createRequestTable({maxAnswerBytes: 10});
 	for (const id of ['r1', 'r2']) {
 		const request = table.open(id, open);
 		request.push(Buffer.from('12345678'));
@@ -21,7 +21,7 @@
 });
 
 test('fence() fences one attempt and not the next one', () => {
-	const table = createRequestTable({bytes: 10});
+	const table = createRequestTable({maxAnswerBytes: 10});
 	table.fence('r1', 1);
 	expect([table.isFenced('r1', 1), table.isFenced('r1', 2)]).toEqual([true, false]);
 });
--- a/src/state/request-table.ts
+++ b/src/state/request-table.ts
@@ -46,7 +46,7 @@
 	readonly chunks: Uint8Array[];
 	readonly events: Emittery<{changed: undefined}>;
 	/** Aborted when the caller has disconnected or the daemon must stop. */
-	readonly stopper: AbortController;
+	readonly abortController: AbortController;
 	/** Set when the answer is complete. */
 	end?: AnswerEnd;
 	/** Set when the request failed. */
@@ -68,7 +68,7 @@
 /** Options of {@linkcode createRequestTable}. */
 export type CreateRequestTableOptions = {
 	/** Maximum total size of the answers of finished requests, in bytes. */
-	readonly bytes: number;
+	readonly maxAnswerBytes: number;
 	/** Maximum number of requests remembered after their answers were evicted, and of fenced attempts; default 100000. */
 	readonly maxTombstones?: number;
 };
@@ -98,7 +98,7 @@
 		shares: options.shares,
 		chunks: [],
 		events: new Emittery(),
-		stopper: new AbortController(),
+		abortController: new AbortController(),
 		billed: [],
 		isEnded: () => Boolean(request.end ?? request.failure),
 		push(chunk) {
@@ -140,7 +140,7 @@
  *
  * @example
  * ```ts
- * const table = createRequestTable({bytes: 1_048_576});
+ * const table = createRequestTable({maxAnswerBytes: 1_048_576});
  * const request = table.open('r-1', {attempt: 1, incarnation: 'i-1', payloadDigest: 'd', shares: []});
  * table.get('r-1').kind; // 'tracked'
  * ```
@@ -158,7 +158,7 @@
 
 	function evictFinished(): void {
 		for (const [id, request] of finished) {
-			if (finishedBytes <= options.bytes) {
+			if (finishedBytes <= options.maxAnswerBytes) {
 				return;
 			}
 
@@ -195,7 +195,7 @@
 		},
 
 		/** Removes a request that did not run, so that it can be sent again. */
-		forget(request: TrackedRequest): void {
+		remove(request: TrackedRequest): void {
 			running.delete(request.id);
 		},
 
--- a/src/state/route-table.ts
+++ b/src/state/route-table.ts
@@ -46,7 +46,7 @@
 		deployment,
 		version: deployment.version,
 		/** True if callers need keys on routes that are not open. */
-		needsKeys: deployment.customers !== undefined,
+		shouldRequireKeys: deployment.customers !== undefined,
 		/** Returns the host's route with the longest prefix of the path. */
 		findRoute(host: string, path: string): Route | undefined {
 			return routesByHost.get(stripPort(host))?.find(route => path.startsWith(route.prefix));
--- a/src/state/spend.test.ts
+++ b/src/state/spend.test.ts
@@ -2,7 +2,7 @@
 import {expect, test} from 'vitest';
 import type {GrantShare, LogEntry, LogRecord} from '../protocol/mod.js';
 import {
-	allocateShares, createFleetState, createGrantHolder, createReceiptBook, formatGrant, type FleetSnapshot, type FleetState, type GrantHolder, type ReceiptBook,
+	allocateShares, createFleetState, createGrantHolder, createReceiptQueue, formatGrantId, type FleetSnapshot, type FleetState, type GrantHolder, type ReceiptQueue,
 } from './mod.js';
 
 // Simulates entry and upstream daemons on the real state modules. Each daemon
@@ -14,12 +14,12 @@
 const budget = 'b1';
 
 type Entry = {id: string; incarnation: string; state: FleetState; holder: GrantHolder; knownGrants: Set<string>};
-type Upstream = {id: string; incarnation: string; state: FleetState; queue: ReceiptBook; previousQueues: Array<[string, ReceiptBook]>; fenced: Set<string>};
+type Upstream = {id: string; incarnation: string; state: FleetState; queue: ReceiptQueue; previousQueues: Array<[string, ReceiptQueue]>; fenced: Set<string>};
 type Options = {readonly hasBatchGuard?: boolean; readonly hasFence?: boolean};
 
 function createSimulation({hasBatchGuard = true, hasFence = true}: Options = {}) {
 	const log: LogEntry[] = [];
-	const referenceState = createFleetState({window: retentionMs});
+	const referenceState = createFleetState({retentionMs: retentionMs});
 	let lastId = 0;
 	let consumedTokens = 0;
 	let wasUpstreamEnded = false;
@@ -41,10 +41,10 @@
 	}
 
 	const entries = ['e0', 'e1'].map((id): Entry => ({
-		id, incarnation: generateId('i'), state: createFleetState({window: retentionMs}), holder: createGrantHolder(), knownGrants: new Set(),
+		id, incarnation: generateId('i'), state: createFleetState({retentionMs: retentionMs}), holder: createGrantHolder(), knownGrants: new Set(),
 	}));
 	const upstreams = ['u0', 'u1'].map((id): Upstream => ({
-		id, incarnation: generateId('i'), state: createFleetState({window: retentionMs}), queue: createReceiptBook(), previousQueues: [], fenced: new Set(),
+		id, incarnation: generateId('i'), state: createFleetState({retentionMs: retentionMs}), queue: createReceiptQueue(), previousQueues: [], fenced: new Set(),
 	}));
 	for (const entry of entries) {
 		join(entry.id, entry.incarnation, 'entry');
@@ -62,13 +62,13 @@
 	append({kind: 'confirm', plan: 'p0', by: 't'});
 
 	function fold(actor: {state: FleetState}, recordCount: number): void {
-		for (const entry of log.slice(actor.state.next(), actor.state.next() + recordCount)) {
+		for (const entry of log.slice(actor.state.getNextOffset(), actor.state.getNextOffset() + recordCount)) {
 			actor.state.fold(structuredClone(entry));
 		}
 	}
 
 	function syncGrants(entry: Entry): void {
-		if (!entry.state.placement.isCurrent(entry.id, entry.incarnation) && entry.state.placement.get(entry.id) === undefined && entry.state.next() > 4) {
+		if (!entry.state.placement.isCurrent(entry.id, entry.incarnation) && entry.state.placement.get(entry.id) === undefined && entry.state.getNextOffset() > 4) {
 			entry.incarnation = generateId('i');
 			join(entry.id, entry.incarnation, 'entry');
 		}
@@ -83,16 +83,16 @@
 		for (const source of entry.holder.listSources(budget)) {
 			const grant = entry.state.ledger.findGrant(source.grant);
 			if (!grant || grant.waitsFor) {
-				entry.holder.drop(source.grant);
+				entry.holder.removeGrant(source.grant);
 			}
 		}
 	}
 
 	function syncUpstream(upstream: Upstream): void {
-		if (upstream.state.placement.get(upstream.id) === undefined && upstream.state.next() > 4) {
+		if (upstream.state.placement.get(upstream.id) === undefined && upstream.state.getNextOffset() > 4) {
 			upstream.previousQueues.push([upstream.incarnation, upstream.queue]);
 			upstream.incarnation = generateId('i');
-			upstream.queue = createReceiptBook();
+			upstream.queue = createReceiptQueue();
 			join(upstream.id, upstream.incarnation, 'upstream');
 		}
 	}
@@ -100,7 +100,7 @@
 	function isFenced(upstream: Upstream, shares: readonly GrantShare[], knownOffset: number): boolean {
 		return hasFence && shares.some(({grant}) => {
 			const grantState = upstream.state.ledger.findGrant(grant);
-			return upstream.fenced.has(grant) || Boolean(grantState?.waitsFor) || (!grantState && upstream.state.next() >= knownOffset);
+			return upstream.fenced.has(grant) || Boolean(grantState?.waitsFor) || (!grantState && upstream.state.getNextOffset() >= knownOffset);
 		});
 	}
 
@@ -131,7 +131,7 @@
 		claim(index: number, amount: number): void {
 			const entry = entries[index]!;
 			append({
-				kind: 'claim', grant: formatGrant(generateId('g'), budget), budget, daemon: entry.id, incarnation: entry.incarnation, amount,
+				kind: 'claim', grant: formatGrantId(generateId('g'), budget), budget, daemon: entry.id, incarnation: entry.incarnation, amount,
 			});
 		},
 		sync(index: number, recordCount: number): void {
@@ -148,7 +148,7 @@
 			const upstream = upstreams[upstreamIndex]!;
 			const reservation = entry.holder.reserve(budget, options.amount);
 			const isJoined = upstream.state.placement.isCurrent(upstream.id, upstream.incarnation);
-			if (!reservation || !isJoined || isFenced(upstream, reservation.shares, entry.state.next())) {
+			if (!reservation || !isJoined || isFenced(upstream, reservation.shares, entry.state.getNextOffset())) {
 				if (reservation) {
 					entry.holder.settle(reservation, []);
 				}
@@ -343,13 +343,13 @@
 			step(simulation);
 		}
 
-		const snapshotState = createFleetState({window: retentionMs});
+		const snapshotState = createFleetState({retentionMs: retentionMs});
 		const snapshotOffset = snapshotSeed % (simulation.log.length + 1);
 		for (const entry of simulation.log.slice(0, snapshotOffset)) {
 			snapshotState.fold(entry);
 		}
 
-		const restoredState = createFleetState({window: retentionMs, snapshot: roundTripJson(snapshotState.buildSnapshot())});
+		const restoredState = createFleetState({retentionMs: retentionMs, snapshot: roundTripJson(snapshotState.buildSnapshot())});
 		for (const entry of simulation.log.slice(snapshotOffset)) {
 			restoredState.fold(entry);
 		}
--- a/src/state/token-account.ts
+++ b/src/state/token-account.ts
@@ -28,7 +28,7 @@
  * account.setGranted('city-1', 1000);
  * const reservation = account.reserve('city-1', 400);
  * account.settle(reservation!, 150);
- * account.countFree('city-1'); // 850
+ * account.countFreeTokens('city-1'); // 850
  * ```
  *
  * @returns The account
@@ -50,7 +50,7 @@
 	}
 
 	return {
-		countFree: countFreeTokens,
+		countFreeTokens: countFreeTokens,
 		listCustomers: (): string[] => [...balances.keys()],
 		get: (customer: string): Readonly<Balance> => ensureBalance(customer),
 
@@ -58,7 +58,7 @@
 		 * Returns the tokens of the gateway's own grant that cannot be released:
 		 * those spent, reserved or lent in excess of the borrowed tokens.
 		 */
-		countBound(customer: string): number {
+		countCommittedTokens(customer: string): number {
 			const {borrowed, lent, reserved, spent} = ensureBalance(customer);
 			return Math.max(0, spent + reserved + lent - borrowed);
 		},
--- a/src/state/traces.test.ts
+++ b/src/state/traces.test.ts
@@ -22,7 +22,7 @@
 for (const file of readdirSync('traces').filter(name => name.endsWith('.json'))) {
 	test(`trace ${file} yields its expected outcome`, () => {
 		const trace = traceSchema.parse(JSON.parse(readFileSync(`traces/${file}`, 'utf8')));
-		const state = createFleetState({window: trace.window});
+		const state = createFleetState({retentionMs: trace.window});
 		for (const [offset, data] of trace.records.entries()) {
 			state.fold({offset, at: offset, data});
 		}
--- a/src/state/upstream-directory.ts
+++ b/src/state/upstream-directory.ts
@@ -67,7 +67,7 @@
 		 * every request with the same prompt to the same stale registration, where
 		 * it is refused.
 		 */
-		markMoved(id: string): void {
+		markAddressReused(id: string): void {
 			const registration = registrations.get(id);
 			if (registration) {
 				registration.isAddressReused = true;
@@ -89,7 +89,7 @@
 		},
 
 		/** Returns the rest of an upstream's grace period in whole milliseconds; 0 outside a grace period. */
-		countGrace(id: string, now: number): number {
+		computeRemainingGraceMs(id: string, now: number): number {
 			const registration = registrations.get(id);
 			return registration?.graceEndsAt !== undefined && isLive(registration, now) ? Math.round(registration.graceEndsAt - now) : 0;
 		},
--- a/tools/measure/budget-world.ts
+++ b/tools/measure/budget-world.ts
@@ -7,8 +7,8 @@
 import {Buffer} from 'node:buffer';
 import {setMaxListeners} from 'node:events';
 import {
-	createEnrolment, createGrantKeeper, createLoanDesk, createLogFollower, createLogWriter, createMembership, createReceiptReporter, createReclaimer,
-	type GrantPolicy, type LoanDesk, type LogFollower, type Self,
+	createEnrolment, createGrantManager, createLoanManager, createLogFollower, createLogWriter, createMembership, createReceiptReporter, createReclaimer,
+	type GrantPolicy, type LoanManager, type LogFollower, type Self,
 } from '../../src/coordination/mod.js';
 import {
 	Err, Ok, createEventLog, createFailure, createId, type Change, type Join, type LogEntry, type LogRecord,
@@ -101,7 +101,7 @@
 	};
 }
 
-type Actor = {readonly id: string; readonly self: Self; readonly follower: LogFollower; readonly loans?: LoanDesk};
+type Actor = {readonly id: string; readonly self: Self; readonly follower: LogFollower; readonly loans?: LoanManager};
 
 /** @internal */
 function createFakeFleet(from: string, actors: Map<string, Actor>, {time, links}: {time: VirtualTime; links: Links}): FleetClient {
@@ -122,20 +122,20 @@
 			async heartbeat() {
 				const {self, follower} = await reach(address);
 				return {
-					id: self.id, incarnation: self.incarnation, role: self.role, leaving: false, nextOffset: follower.state().next(), version: 0,
+					id: self.id, incarnation: self.incarnation, role: self.role, leaving: false, nextOffset: follower.state().getNextOffset(), version: 0,
 				};
 			},
 			async records({from: offset}: {from: number}) {
 				const {follower} = await reach(address);
 				return {records: follower.listRecent(offset).entries.map(entry => JSON.stringify(entry)), snapshot: ''};
 			},
-			async borrow(request: Parameters<LoanDesk['lend']>[0]) {
+			async borrow(request: Parameters<LoanManager['lend']>[0]) {
 				const actor = await reach(address);
 				return actor.loans!.lend(request);
 			},
 			async repay(request: {loan: string; unspent: Array<{grant: string; amount: number}>}) {
 				const actor = await reach(address);
-				actor.loans!.takeRepayment(request.loan, request.unspent);
+				actor.loans!.acceptRepayment(request.loan, request.unspent);
 				return {};
 			},
 		},
@@ -152,12 +152,12 @@
 		id, role, incarnation: createId('i'), isLeaving: false,
 	};
 	const follower = createLogFollower({
-		log: options.log, clock, events, window, fetchFromPeers: async from => membership.fetchRecords(from),
+		log: options.log, clock, events, windowMs: window, fetchFromPeers: async from => membership.fetchRecords(from),
 	});
 	const membership = createMembership({
-		self, fleet: options.fleet, clock, events, seeds: [], hostList: options.hostList, hostListEvery: 1000, heartbeatEvery: 500, suspectAfter,
+		self, fleet: options.fleet, clock, events, seeds: [], hostList: options.hostList, hostListIntervalMs: 1000, heartbeatIntervalMs: 500, suspectTimeoutMs: suspectAfter,
 		listMembers: () => follower.state().placement.list(),
-		countNext: () => follower.state().next(),
+		getNextOffset: () => follower.state().getNextOffset(),
 	});
 	const writer = createLogWriter({
 		log: options.log, follower, clock, events,
@@ -219,8 +219,8 @@
 	const upstream = createDaemonParts('up', 'upstream', {
 		time, log: log.createClient('up'), fleet: createFakeFleet('up', actors, {time, links}), hostList,
 	});
-	const table = createRequestTable({bytes: 1000});
-	const reporter = createReceiptReporter({...upstream, table, every: 500});
+	const table = createRequestTable({maxAnswerBytes: 1000});
+	const reporter = createReceiptReporter({...upstream, table, intervalMs: 500});
 	void reporter.run(upstream.stopper.signal);
 	actors.set('up', upstream);
 
@@ -230,16 +230,16 @@
 			time, log: log.createClient(id), fleet, hostList,
 		});
 		const holder = createGrantHolder();
-		const loans = createLoanDesk({
-			...parts, holder, fleet, listMembers: () => parts.follower.state().placement.list(), listWanted: budget => keeper.listWanted(budget),
+		const loans = createLoanManager({
+			...parts, holder, fleet, listMembers: () => parts.follower.state().placement.list(), listWaitingAmounts: budget => keeper.listWanted(budget),
 		});
-		const keeper = createGrantKeeper({
-			...parts, holder, policy: options.createPolicy(), every: 250,
+		const keeper = createGrantManager({
+			...parts, holder, policy: options.createPolicy(), intervalMs: 250,
 			loans: options.cooperates ? loans : {...loans, borrow: async () => ({reserved: 0, isComplete: true})},
 		});
 		void keeper.run(parts.stopper.signal);
 		if (options.cooperates) {
-			void createReclaimer({...parts, isShort: keeper.isShort, findLentTo: loans.findLentTo}).run(parts.stopper.signal);
+			void createReclaimer({...parts, wasInsufficient: keeper.wasInsufficient, findLentTo: loans.findGrantsLentTo}).run(parts.stopper.signal);
 		}
 
 		actors.set(id, {...parts, loans});
@@ -259,14 +259,14 @@
 		/** Serves one call at one entry; true when it was served. */
 		async serve(index: number, call: MeasuredCall): Promise<boolean> {
 			const entry = entries[index]!;
-			const reserved = await entry.keeper.acquire(measuredBudget, call.worst, {patience: call.patience, signal: entry.stopper.signal});
+			const reserved = await entry.keeper.acquire(measuredBudget, call.worst, {timeoutMs: call.patience, signal: entry.stopper.signal});
 			if (reserved.err) {
 				return false;
 			}
 
 			const {shares} = reserved.val;
 			await time.sleep(hopSpan);
-			if (reporter.findFenced(shares, entry.follower.state().next()) !== undefined) {
+			if (reporter.findFencedGrant(shares, entry.follower.state().getNextOffset()) !== undefined) {
 				entry.keeper.settle(reserved.val, []);
 				return false;
 			}
@@ -277,7 +277,7 @@
 			await time.sleep(call.span);
 			const billed = allocateShares(shares, call.cost);
 			reporter.add(upstream.self.incarnation, {request: request.id, attempt: 1, shares: billed});
-			table.forget(request);
+			table.remove(request);
 			if (!links.dead.has(entry.id)) {
 				entry.keeper.settle(reserved.val, billed);
 			}
--- a/tools/measure/slopes.ts
+++ b/tools/measure/slopes.ts
@@ -9,7 +9,7 @@
 import {setTimeout as wait} from 'node:timers/promises';
 import {create, toBinary} from '@bufbuild/protobuf';
 import {HeartbeatReplySchema, HeartbeatRequestSchema, type LogRecord} from '../../src/protocol/mod.js';
-import {createFleetState, formatGrant} from '../../src/state/mod.js';
+import {createFleetState, formatGrantId} from '../../src/state/mod.js';
 import {startFleet} from '../harness/mod.js';
 import {fitLine, type FittedLine} from './fit-line.js';
 import {readProcessUse} from './process-time.js';
@@ -33,7 +33,7 @@
 }
 
 function fillBudgets(count: number) {
-	const state = createFleetState({window});
+	const state = createFleetState({retentionMs: window});
 	let offset = 0;
 	const fold = (data: LogRecord) => {
 		state.fold({offset, at: offset, data});
@@ -72,7 +72,7 @@
 		const startedAt = performance.now();
 		for (let index = 0; index < size; index++) {
 			fold({
-				kind: 'claim', grant: formatGrant(`g-${index}`, `budget-${index}`), budget: `budget-${index}`, daemon: 'e', incarnation: 'i', amount: 1000,
+				kind: 'claim', grant: formatGrantId(`g-${index}`, `budget-${index}`), budget: `budget-${index}`, daemon: 'e', incarnation: 'i', amount: 1000,
 			});
 		}
 
@@ -115,7 +115,7 @@
 		time.push([size, (performance.now() - startedAt) * 1000]);
 		memory.push([size, readHeap() - before]);
 		bytes.push([size, size0]);
-		state.next();
+		state.getNextOffset();
 	}
 
 	return [
--- a/tools/prove/death-proofs.ts
+++ b/tools/prove/death-proofs.ts
@@ -96,7 +96,7 @@
 	fleet: {
 		entries: 2, engines: 1, bookings: 0, settings: quick,
 	},
-	withoutGuard: replaceModule('src/coordination/loan-desk', 'desk-that-takes-silence-for-no'),
+	withoutGuard: replaceModule('src/coordination/loan-manager', 'desk-that-takes-silence-for-no'),
 	async run(fleet) {
 		await configureCity(fleet, 1000);
 		const {lender, borrower} = await pickLender(fleet);
--- a/tools/prove/unguarded/desk-that-takes-silence-for-no.ts
+++ b/tools/prove/unguarded/desk-that-takes-silence-for-no.ts
@@ -4,11 +4,11 @@
  *
  * @module
  */
-import {createLoanDesk as createGuarded, type CreateLoanDeskOptions, type LoanDesk} from '../../../src/coordination/loan-desk.js';
+import {createLoanManager as createGuarded, type CreateLoanManagerOptions, type LoanManager} from '../../../src/coordination/loan-manager.js';
 
-export * from '../../../src/coordination/loan-desk.js';
+export * from '../../../src/coordination/loan-manager.js';
 
-export function createLoanDesk(options: CreateLoanDeskOptions): LoanDesk {
+export function createLoanManager(options: CreateLoanManagerOptions): LoanManager {
 	const desk = createGuarded(options);
 	return {
 		...desk,
--- a/tools/prove/unguarded/engine-limit-unread.ts
+++ b/tools/prove/unguarded/engine-limit-unread.ts
@@ -5,6 +5,6 @@
  */
 export * from '../../../src/coordination/engine-limit.js';
 
-export function readLimit(): number {
+export function readMaxTokens(): number {
 	return Number.MAX_SAFE_INTEGER;
 }
--- a/tools/prove/unguarded/frames-unchecked.ts
+++ b/tools/prove/unguarded/frames-unchecked.ts
@@ -5,10 +5,10 @@
  */
 export * from '../../../src/coordination/frame-check.js';
 
-export function isWantedFrame(): boolean {
+export function isExpectedFrame(): boolean {
 	return true;
 }
 
-export function isWholeAnswer(): boolean {
+export function isCompleteAnswer(): boolean {
 	return true;
 }
--- a/tools/prove/unguarded/reporter-without-fence.ts
+++ b/tools/prove/unguarded/reporter-without-fence.ts
@@ -8,5 +8,5 @@
 export * from '../../../src/coordination/receipt-reporter.js';
 
 export function createReceiptReporter(options: CreateReceiptReporterOptions): ReceiptReporter {
-	return {...createGuarded(options), findFenced: () => undefined};
+	return {...createGuarded(options), findFencedGrant: () => undefined};
 }
--- a/tools/prove/unguarded/runner-without-register.ts
+++ b/tools/prove/unguarded/runner-without-register.ts
@@ -10,7 +10,7 @@
 export function createServiceRunner(options: CreateServiceRunnerOptions): ServiceRunner {
 	return {
 		...createGuarded(options),
-		async obtainRight() {
+		async obtainPermit() {
 			return {kind: 'mine'};
 		},
 	};
--- a/tools/prove/unguarded/table-that-forgets-failures.ts
+++ b/tools/prove/unguarded/table-that-forgets-failures.ts
@@ -13,7 +13,7 @@
 		...table,
 		close(request) {
 			if (request.failure) {
-				table.forget(request);
+				table.remove(request);
 			} else {
 				table.close(request);
 			}
--- a/tools/prove/unguarded/upstream-interface-that-crosses.ts
+++ b/tools/prove/unguarded/upstream-interface-that-crosses.ts
@@ -6,13 +6,13 @@
  */
 import type {MessageInitShape} from '@bufbuild/protobuf';
 import type {ServiceImpl} from '@connectrpc/connect';
-import type {Self, UpstreamDesk} from '../../../src/coordination/mod.js';
+import type {Self, RequestExecutor} from '../../../src/coordination/mod.js';
 import {createUpstreamInterface as createGuarded} from '../../../src/daemon/upstream-interface.js';
 import type {RunFrameSchema, Upstream} from '../../../src/protocol/mod.js';
 
 type Frame = MessageInitShape<typeof RunFrameSchema>;
 
-export function createUpstreamInterface(self: Self, desk: UpstreamDesk): ServiceImpl<typeof Upstream> {
+export function createUpstreamInterface(self: Self, desk: RequestExecutor): ServiceImpl<typeof Upstream> {
 	const guarded = createGuarded(self, desk);
 	let stray: Frame | undefined;
 	return {
