--- a/src/protocol/catalogues.test.ts
+++ b/src/protocol/catalogues.test.ts
@@ -14,13 +14,13 @@
 	}
 });
 
-test('eventCatalogue has no number twice and no event that is never written', () => {
+test('eventCatalogue has unique numbers and no event that the source never writes', () => {
 	const numbers = Object.values(eventCatalogue).map(event => event.number);
 	expect(new Set(numbers).size).toBe(numbers.length);
 	expect(Object.keys(eventCatalogue).filter(name => !source.includes(`'${name}'`))).toEqual([]);
 });
 
-test('docs/ERRORS.md has every failure with its row', () => {
+test('docs/ERRORS.md has every failure with its properties', () => {
 	const page = readFileSync('docs/ERRORS.md', 'utf8');
 	for (const [type, row] of Object.entries(failureTable)) {
 		expect(page).toContain(`| ${type} | ${row.status} | ${row.retryable ? 'yes' : 'no'} | ${row.exitCode} | ${row.title} |`);
--- a/src/protocol/chat.ts
+++ b/src/protocol/chat.ts
@@ -1,23 +1,23 @@
 /**
- * The chat-completions interface, as far as it is served.
+ * The supported part of the chat-completions interface.
  *
  * @module
  */
 import {Buffer} from 'node:buffer';
 import * as z from 'zod';
 
-/** The largest `max_tokens` that is taken seriously. */
-export const absurdMaxTokens = 1_000_000;
+/** The largest `max_tokens` that a request may specify. */
+export const maxTokensLimit = 1_000_000;
 
 const contentSchema = z.union([z.string(), z.array(z.looseObject({type: z.string()}))]);
 
-/** Schema of a chat-completions request; unknown members go through to the engine. */
+/** Schema of a chat-completions request. Unknown fields are passed on to the engine. */
 export const chatRequestSchema = z.looseObject({
 	/* eslint-disable @typescript-eslint/naming-convention */
 	model: z.string().min(1),
 	messages: z.array(z.looseObject({role: z.string(), content: contentSchema.nullish()})).min(1),
-	max_tokens: z.number().int().positive().max(absurdMaxTokens).nullish(),
-	max_completion_tokens: z.number().int().positive().max(absurdMaxTokens).nullish(),
+	max_tokens: z.number().int().positive().max(maxTokensLimit).nullish(),
+	max_completion_tokens: z.number().int().positive().max(maxTokensLimit).nullish(),
 	stream: z.boolean().nullish(),
 	stream_options: z.looseObject({include_usage: z.boolean().nullish()}).nullish(),
 	n: z.literal(1).nullish(),
@@ -27,7 +27,7 @@
 /** A chat-completions request. */
 export type ChatRequest = z.infer<typeof chatRequestSchema>;
 
-/** Schema of the count of tokens in an answer. */
+/** Schema of the token usage reported with an answer. */
 export const usageSchema = z.object({
 	/* eslint-disable @typescript-eslint/naming-convention */
 	prompt_tokens: z.number(),
@@ -36,10 +36,10 @@
 	/* eslint-enable @typescript-eslint/naming-convention */
 });
 
-/** The count of tokens in an answer. */
+/** The token usage reported with an answer. */
 export type Usage = z.infer<typeof usageSchema>;
 
-/** Schema of one streamed event of an engine. */
+/** Schema of one event of a streamed answer. */
 export const chatChunkSchema = z.looseObject({
 	/* eslint-disable @typescript-eslint/naming-convention */
 	choices: z.array(z.looseObject({
@@ -50,14 +50,17 @@
 	/* eslint-enable @typescript-eslint/naming-convention */
 });
 
-const messageFrameTokens = 8;
-const requestFrameTokens = 16;
+/** Allowance for the markup that a chat template adds to each message. */
+const messageOverheadTokens = 8;
+/** Allowance for the markup that a chat template adds to the whole prompt. */
+const requestOverheadTokens = 16;
 
 /**
- * Computes an upper bound of a prompt's tokens.
+ * Computes an upper bound on the number of tokens in a prompt.
  *
- * A token of a byte-level vocabulary covers at least one byte, so the bytes of
- * all messages, with an allowance for each message's frame, cannot be passed.
+ * A token of a byte-level vocabulary covers at least one byte, so the number of
+ * tokens cannot exceed the total bytes of all messages plus an allowance for the
+ * markup around each message.
  *
  * @example
  * ```ts
@@ -65,13 +68,13 @@
  * ```
  *
  * @param request The request
- * @returns Tokens that the prompt cannot exceed
+ * @returns The upper bound, in tokens
  */
 export function boundPromptTokens(request: ChatRequest): number {
-	let bound = requestFrameTokens;
+	let bound = requestOverheadTokens;
 	for (const message of request.messages) {
 		const text = typeof message.content === 'string' ? message.content : JSON.stringify(message.content ?? '');
-		bound += Buffer.byteLength(text) + Buffer.byteLength(message.role) + messageFrameTokens;
+		bound += Buffer.byteLength(text) + Buffer.byteLength(message.role) + messageOverheadTokens;
 	}
 
 	return bound;
--- a/src/protocol/deployment.ts
+++ b/src/protocol/deployment.ts
@@ -1,59 +1,59 @@
 /**
- * A deployment as a gateway serves it: routes, services, customers and the
- * limits on callers, and the upstreams that stand behind a service.
+ * A deployment as served by a gateway: routes, services, customers, limits on
+ * callers, and the upstreams that serve each service.
  *
  * @module
  */
 import * as z from 'zod';
 
 /**
- * What may be repeated: an `idempotent` request may run more than once, a
- * `once` request may not, and a `stream` may only be resumed where its route
- * says so.
+ * Whether a request can be repeated: an `idempotent` request may run more than
+ * once, a `once` request must not, and a `stream` may be resumed only if its
+ * route allows it.
  */
 export const routeKindSchema = z.enum(['idempotent', 'once', 'stream']);
 
-/** A service that gets a share of a route's requests. */
+/** A service that receives a share of a route's requests. */
 export const routeTargetSchema = z.object({service: z.string(), weight: z.number().nonnegative()});
 
 /** Schema of a route. */
 export const routeSchema = z.object({
 	id: z.string(),
 	host: z.string(),
-	/** Beginning of the path, with a slash at both ends. */
+	/** Path prefix, with a leading and a trailing slash. */
 	prefix: z.string(),
 	kind: routeKindSchema,
-	/** Longest time a caller may be kept waiting, in milliseconds. */
+	/** Maximum time that a caller waits for its answer, in milliseconds. */
 	timeout: z.number().positive(),
-	/** Time within which an answer, or the first event of a stream, is on time, in milliseconds. */
+	/** Latency objective for the answer, or for the first event of a stream, in milliseconds. */
 	objective: z.number().positive(),
 	/** 0 is the most urgent. */
 	priority: z.number().int().nonnegative(),
-	/** Callers need no key. */
+	/** True if callers need no key. */
 	isOpen: z.boolean(),
-	/** Upstreams that one request may be sent to. */
+	/** Maximum number of upstreams that a request is sent to. */
 	attempts: z.number().int().positive(),
-	/** A broken stream may be resumed at another upstream. */
+	/** True if an interrupted stream may be resumed on another upstream. */
 	isResumable: z.boolean(),
 	targets: z.array(routeTargetSchema).min(1),
 });
 
-/** Schema of a model engine's shape, the same for all engines of a service. */
+/** Schema of the capacity of a model engine, which is the same for all engines of a service. */
 export const engineShapeSchema = z.object({
-	/** Requests that run at once. */
+	/** Requests that the engine runs concurrently. */
 	slots: z.number().int().positive(),
-	/** Tokens that running requests and cached prompts share. */
+	/** Memory shared by running requests and cached prompts, in tokens. */
 	memory: z.number().positive(),
-	/** Most tokens that one event of a stream holds. */
+	/** Maximum number of tokens in one event of a stream. */
 	tokensPerEvent: z.number().int().positive(),
 });
 
 /** Schema of a service. */
 export const gatewayServiceSchema = z.object({
 	id: z.string(),
-	/** Connections that one upstream accepts from all callers together. */
+	/** Maximum number of connections that an upstream accepts in total. */
 	connectionLimit: z.number().int().positive(),
-	/** Set for model engines. */
+	/** Set only for services of model engines. */
 	engine: engineShapeSchema.optional(),
 });
 
@@ -61,46 +61,46 @@
 export const gatewayCustomerSchema = z.object({
 	id: z.string(),
 	keys: z.array(z.string()),
-	/** Goes before the route's priority; default the route's. */
+	/** Overrides the route's priority; defaults to the route's. */
 	priority: z.number().int().nonnegative().optional(),
-	/** Tokens bought; undefined for a customer without a budget. */
+	/** Prepaid tokens; undefined for a customer without a budget. */
 	bought: z.number().nonnegative().optional(),
 });
 
-/** Schema of the limits on what a caller may send. */
+/** Schema of the limits on caller requests and connections. */
 export const callerLimitsSchema = z.object({
-	/** Bytes. */
+	/** Maximum size of the headers. */
 	headerBytes: z.number().int().positive(),
-	/** Bytes. */
+	/** Maximum size of the body. */
 	bodyBytes: z.number().int().positive(),
-	/** Milliseconds within which the headers must be in. */
+	/** Maximum time to receive the headers, in milliseconds. */
 	headerTimeout: z.number().positive(),
-	/** Milliseconds that a connection may stay idle. */
+	/** Maximum idle time of a connection, in milliseconds. */
 	idleTimeout: z.number().positive(),
 });
 
 /** Schema of a deployment. */
 export const deploymentSchema = z.object({
-	/** Rises with each change. */
+	/** Increases with each change. */
 	version: z.number().int(),
 	routes: z.array(routeSchema),
 	services: z.array(gatewayServiceSchema),
-	/** Undefined where callers need no keys. */
+	/** Undefined if callers need no keys. */
 	customers: z.array(gatewayCustomerSchema).optional(),
 	limits: callerLimitsSchema,
 });
 
-/** Schema of an upstream as it registered itself. */
+/** Schema of the registration that an upstream writes for itself. */
 export const upstreamEntrySchema = z.object({
-	/** Names one start of the upstream. */
+	/** Unique to one start of the upstream. */
 	id: z.string(),
 	service: z.string(),
-	/** IP number and port. */
+	/** IP address and port. */
 	address: z.string(),
 	failureDomain: z.string(),
 	slots: z.number().int().positive(),
 	isDraining: z.boolean(),
-	/** Milliseconds for which it stays slow after its start. */
+	/** Time after its start during which the upstream is slow, in milliseconds. */
 	warmUp: z.number().nonnegative(),
 });
 
--- a/src/protocol/event-log.ts
+++ b/src/protocol/event-log.ts
@@ -1,18 +1,18 @@
 /**
- * Structured log: one numbered event a line, written through `debug`.
+ * Structured log that writes one numbered event per line through `debug`.
  *
  * @module
  */
 import createDebug from 'debug';
 import {eventCatalogue, type EventName} from './event-catalogue.js';
 
-/** Fields of an event; never a customer's content and never a key. */
+/** Fields of an event. They must never contain request or response content, or keys. */
 export type EventFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** Writes events of one daemon. */
+/** Event log of one daemon. */
 export type EventLog = {
 	readonly write: (name: EventName, fields?: EventFields) => void;
-	/** How often each event was written. */
+	/** Number of times each event was written. */
 	readonly counts: ReadonlyMap<EventName, number>;
 };
 
--- a/src/protocol/failures.ts
+++ b/src/protocol/failures.ts
@@ -1,24 +1,24 @@
 /**
- * Every failure the product can answer with, one tagged type each, and the one
- * table that maps a failure to HTTP status, retryability and exit code.
+ * The types of failure that callers and operators can receive, and the table
+ * that maps each type to its HTTP status, retryability and exit code.
  *
  * @module
  */
 import * as z from 'zod';
 
-/** Whether the request ran: `no` is only said when it never will. */
+/** Schema of whether a request ran. `no` also guarantees that it will not run later. */
 export const ranSchema = z.enum(['no', 'yes', 'unknown']);
 
-/** Whether the request ran. */
-export type Ran = z.infer<typeof ranSchema>;
+/** Whether a request ran. */
+export type RunStatus = z.infer<typeof ranSchema>;
 
 type FailureRow = {
 	/** HTTP status of the answer. */
 	readonly status: number;
 	readonly title: string;
-	/** True when the same request may succeed later. */
+	/** True if the same request may succeed later. */
 	readonly retryable: boolean;
-	/** Exit code of the command line. */
+	/** Exit code of the command-line tool. */
 	readonly exitCode: number;
 };
 
@@ -115,42 +115,42 @@
 
 } as const satisfies Record<string, FailureRow>;
 
-/** The tag of a failure. */
+/** The type of a failure. */
 export type FailureType = keyof typeof failureTable;
 
-/** A failure as it travels between functions and, as a problem, to callers. */
+/** A failure as passed between functions; {@linkcode formatProblem} converts it for callers. */
 export type Failure = {
 	readonly type: FailureType;
-	/** A sentence naming the value and the reason. */
+	/** Sentence that names the value and the reason. */
 	readonly detail: string;
-	readonly ran: Ran;
-	/** When to come back, in milliseconds; undefined when coming back is of no use. */
+	readonly ran: RunStatus;
+	/** Delay before a retry, in milliseconds; undefined if a retry would not help. */
 	readonly retryAfterMs?: number;
-	/** The incarnation of an upstream daemon that holds the request, as `daemon/incarnation`. */
+	/** The upstream incarnation that holds the request, as `daemon/incarnation`. */
 	readonly heldBy?: string;
 };
 
 /** Options of {@linkcode createFailure}. */
 export type CreateFailureOptions = {
-	/** Whether the request ran; default `no`. */
-	readonly ran?: Ran;
-	/** When to come back, in milliseconds; default undefined. */
+	/** Whether the request ran; defaults to `no`. */
+	readonly ran?: RunStatus;
+	/** Delay before a retry, in milliseconds; defaults to undefined. */
 	readonly retryAfterMs?: number;
-	/** The incarnation that holds the request; default undefined. */
+	/** The upstream incarnation that holds the request; defaults to undefined. */
 	readonly heldBy?: string;
 };
 
 /**
- * Builds a failure.
+ * Creates a failure.
  *
  * @example A spent budget
  * ```ts
  * createFailure('budget-spent', 'Budget "b1" has 0 tokens left', {retryAfterMs: 5000});
  * ```
  *
- * @param type The tag, a row of {@linkcode failureTable}
- * @param detail A sentence naming the value and the reason
- * @param options Whether the request ran and when to come back
+ * @param type The type, a key of {@linkcode failureTable}
+ * @param detail Sentence that names the value and the reason
+ * @param options Whether the request ran, when to retry and which incarnation holds the request
  * @returns The failure
  */
 export function createFailure(type: FailureType, detail: string, options: CreateFailureOptions = {}): Failure {
@@ -160,21 +160,21 @@
 }
 
 /**
- * Tells whether a text is the tag of a failure.
+ * Checks whether a string is a failure type.
  *
  * @example
  * ```ts
  * isFailureType('overloaded'); // true
  * ```
  *
- * @param text The text, for example from another daemon
- * @returns True when it is a row of {@linkcode failureTable}
+ * @param text The string, for example from another daemon
+ * @returns True if it is a key of {@linkcode failureTable}
  */
 export function isFailureType(text: string): text is FailureType {
 	return Object.hasOwn(failureTable, text);
 }
 
-/** A failure thrown where a `Result` cannot be returned. */
+/** Error that carries a failure where a `Result` cannot be returned. */
 export class FailureError extends Error {
 	override get name() {
 		return 'FailureError';
@@ -201,7 +201,7 @@
 const millisecondsPerSecond = 1000;
 
 /**
- * Turns a failure into the body that callers receive.
+ * Converts a failure to the `application/problem+json` body sent to callers.
  *
  * @example
  * ```ts
@@ -209,7 +209,7 @@
  * ```
  *
  * @param failure The failure
- * @returns The problem; `type` is a stable URN
+ * @returns The problem, whose `type` is a stable URN
  */
 export function formatProblem(failure: Failure): Problem {
 	const row = failureTable[failure.type];
--- a/src/protocol/gateway-settings.ts
+++ b/src/protocol/gateway-settings.ts
@@ -1,5 +1,6 @@
 /**
- * The settings of daemons that reach upstreams directly: gateways and relays.
+ * The settings of gateway and relay daemons. A gateway connects to upstreams
+ * directly, without upstream daemons.
  *
  * @module
  */
@@ -10,35 +11,35 @@
 /** Schema of a gateway daemon's settings. */
 export const gatewaySettingsSchema = z.object({
 	role: z.literal('gateway'),
-	/** The daemon's name, kept when its process restarts. */
+	/** The daemon's name, which stays the same when its process restarts. */
 	id: z.string().min(1),
 	failureDomain: z.string().min(1),
 	listen: z.object({
 		callers: addressSchema,
-		/** Where the balancer asks for readiness. */
+		/** Address of the readiness endpoint for the load balancer. */
 		readiness: addressSchema,
-		/** Where other gateways reach this one. */
+		/** Address for requests from other gateways. */
 		peers: addressSchema,
-		/** Where it takes other gateways' datagrams. */
+		/** Address for gossip datagrams from other gateways. */
 		news: addressSchema,
-		/** Where metrics are read; port 0 lets the system choose. */
+		/** Address of the metrics endpoint; with port 0 the operating system assigns a port. */
 		metrics: addressSchema,
 	}),
-	/** Addresses of other gateways to ask first: IP number and port. */
+	/** Addresses of the gateways to contact first, as IP address and port. */
 	seeds: z.array(z.string()),
-	/** Secret that gateways share; empty where the network between them is closed to others. */
+	/** Secret shared by the gateways; may be empty if only they have access to the network between them. */
 	fleetKey: z.string().default(''),
-	/** Secret of operators; empty where the address for metrics is closed to others. */
+	/** Secret of the operators; may be empty if only they have access to the metrics address. */
 	operatorKey: z.string().default(''),
-	/** The store's address: IP number and port. */
+	/** IP address and port of the store. */
 	store: z.string(),
-	/** Pause between two renewals of an upstream's entry in the store, in milliseconds. */
+	/** Interval at which upstreams renew their registration in the store, in milliseconds. */
 	upstreamHeartbeat: z.number().positive(),
-	/** Time that a stop may take before the process is killed, in milliseconds. */
+	/** Time after which a stopping process is killed, in milliseconds. */
 	stopWithin: z.number().positive(),
-	/** Repeated sends as a share of requests, fleet-wide. */
+	/** Maximum retries as a share of requests, fleet-wide. */
 	retryShare: z.number().min(0).max(1),
-	/** Repeated sends allowed beyond the share, fleet-wide, in any retry window. */
+	/** Retries allowed in addition to the share in any retry window, fleet-wide. */
 	retrySlack: z.number().nonnegative(),
 });
 
@@ -47,14 +48,14 @@
 	role: z.literal('relay'),
 	id: z.string().min(1),
 	failureDomain: z.string().min(1),
-	/** Where gateways reach it. */
+	/** Address for requests from gateways. */
 	listen: addressSchema,
 	fleetKey: z.string().default(''),
-	/** The store's address: IP number and port. */
+	/** IP address and port of the store. */
 	store: z.string(),
 });
 
-/** Settings of either. */
+/** Settings of a gateway or relay daemon. */
 export type DirectSettings = GatewaySettings | RelaySettings;
 /** Settings of a relay daemon. */
 export type RelaySettings = z.infer<typeof relaySettingsSchema>;
--- a/src/protocol/gateway-wire.ts
+++ b/src/protocol/gateway-wire.ts
@@ -1,6 +1,6 @@
 /**
- * How requests and answers look on the wire of one deployment, decoded into
- * types whose fields say what they hold. An adapter implements it.
+ * The metadata that requests and answers carry in their headers, independent of
+ * the header names. An adapter maps it to the headers of its deployment.
  *
  * @module
  */
@@ -8,77 +8,77 @@
 import type {Failure} from './failures.js';
 import type {Result} from './results.js';
 
-/** A part of a prompt: requests that share its id share its tokens. */
+/** A part of a prompt. Prompts that contain a part of the same id have its tokens in common. */
 export type PromptPart = {readonly id: string; readonly tokens: number};
 
-/** What a caller said of a request to a model engine. */
+/** Generation parameters of a request to a model engine, as stated by the caller. */
 export type Generation = {
 	readonly model: string;
 	readonly promptTokens: number;
-	/** Most tokens that may be generated. */
+	/** Maximum number of tokens to generate. */
 	readonly outputTokens: number;
-	/** The prompt's parts in order; the last belongs to the request or its session. */
+	/** The parts of the prompt in order. The last part is specific to the request or its session. */
 	readonly parts: readonly PromptPart[];
 };
 
-/** What a caller said of a request. */
+/** Metadata of a request from a caller. */
 export type RequestFacts = {
-	/** Names this attempt of the caller's; undefined when the caller sent none. */
+	/** Identifies the caller's attempt; undefined if the caller sent no id. */
 	readonly id?: string;
-	/** Milliseconds that the caller will wait; undefined when it did not say. */
+	/** Time that the caller waits for the answer, in milliseconds; undefined if not stated. */
 	readonly patience?: number;
 	readonly key?: string;
 	readonly generation?: Generation;
-	/** The last event that the caller already has; it asks to go on from there. */
+	/** Id of the last event that the caller has received, after which the stream is to resume. */
 	readonly lastEvent?: string;
 };
 
-/** What the gateway tells an upstream of a request. */
+/** Metadata of a request that the gateway forwards to an upstream. */
 export type ForwardFacts = {
 	readonly requestId?: string;
-	/** The only upstream that may run it. */
+	/** Id of the only upstream that may run the request. */
 	readonly upstream: string;
 	readonly customer?: string;
-	/** Milliseconds that are left. */
+	/** Time left until the deadline, in milliseconds. */
 	readonly remaining: number;
-	/** 0 is first, 9 last; undefined leaves it to the upstream. */
+	/** Scheduling order at the upstream, from 0 (first) to 9 (last); undefined for the default of the upstream. */
 	readonly urgency?: number;
-	/** Resume after this event. */
+	/** Id of the event after which the stream resumes. */
 	readonly lastEvent?: string;
 };
 
-/** Running and waiting requests of an upstream, as told in an answer. */
+/** Load of an upstream as reported in an answer. */
 export type ToldLoad = {readonly running: number; readonly waiting: number; readonly slots: number};
 
-/** What an upstream's answer says. */
+/** Metadata of an answer from an upstream. */
 export type AnswerFacts = {
-	/** The request that it answers; undefined when it does not say. */
+	/** Id of the request that this answers; undefined if not stated. */
 	readonly requestId?: string;
-	/** The upstream promises that the request has not run. */
+	/** True if the upstream guarantees that the request has not run. */
 	readonly hasNotRun: boolean;
-	/** The upstream that was named is not the one at this address. */
+	/** True if the upstream at this address is not the one that the request named. */
 	readonly isOtherUpstream: boolean;
-	/** It bears the upstream's mark; without it the body is not the upstream's. */
+	/** True if the answer has the upstream signature. Without it, the body does not come from the upstream. */
 	readonly isMarked: boolean;
 	readonly load?: ToldLoad;
 };
 
-/** Header names and values in turn. */
+/** Header names and values, alternating. */
 export type RawHeaders = readonly string[];
 
-/** Translates between the wire and the product's types. */
+/** Converts between headers and request or answer metadata. */
 export type GatewayWire = {
-	/** Reads a caller's request; a malformed field is `invalid-request`. */
+	/** Reads the metadata of a caller's request; fails if a field is malformed. */
 	readonly readRequest: (headers: IncomingHttpHeaders) => Result<RequestFacts, Failure>;
-	/** Reads the id alone, for the log; a request that cannot be read may have one. */
+	/** Reads only the request id, for log events. Also works for requests with other malformed fields. */
 	readonly readId: (headers: IncomingHttpHeaders) => string | undefined;
-	/** Builds the headers that an upstream gets from those that the caller sent. */
+	/** Builds the headers for the upstream from the caller's headers. */
 	readonly buildForwardHeaders: (raw: RawHeaders, facts: ForwardFacts) => string[];
 	readonly readAnswer: (status: number, headers: IncomingHttpHeaders) => AnswerFacts;
-	/** Builds the headers that the caller gets from those that the upstream sent. */
+	/** Builds the headers for the caller from the upstream's headers. */
 	readonly buildAnswerHeaders: (raw: RawHeaders) => string[];
-	/** Header that tells a caller when to come back, with its value. */
+	/** Returns the name and value of the header that tells a caller when to retry. */
 	readonly formatRetryAfter: (milliseconds: number) => readonly [string, string];
-	/** Path at which the balancer asks whether this daemon takes connections. */
+	/** Path at which the load balancer checks whether this daemon accepts connections. */
 	readonly readinessPath: string;
 };
--- a/src/protocol/keyed-log.ts
+++ b/src/protocol/keyed-log.ts
@@ -1,30 +1,34 @@
 /**
- * A log of keyed records, of which the newest of each key is kept for good.
+ * A log of keyed records that retains the newest record of each key indefinitely.
  *
  * @module
  */
 import type {Failure} from './failures.js';
 import type {Result} from './results.js';
 
-/** A record; without a value it drops its key. */
+/** A record. A record without a value deletes its key. */
 export type KeyedRecord = {readonly key: string; readonly value?: string};
 
-/** A record where it stands. */
+/** A record with its offset in the log. */
 export type StoredRecord = KeyedRecord & {readonly offset: number};
 
-/** Records from an offset on, and where the log ends. */
+/** Records from an offset on, and the end offset of the log. */
 export type KeyedPage = {readonly records: readonly StoredRecord[]; readonly end: number};
 
-/** The newest record of each key; records after `end` may or may not be among them. */
+/** The newest record of each key up to `end`. Records after `end` may be included. */
 export type NewestRecords = {readonly records: readonly StoredRecord[]; readonly end: number};
 
-/** Why a read failed: the log is away, or it no longer keeps the offset asked for. */
+/** Why a read failed. `away`: the log is unavailable; `gone`: the log no longer retains the requested offset. */
 export type KeyedReadFailure = {readonly kind: 'away'; readonly failure: Failure} | {readonly kind: 'gone'};
 
 /**
- * What became of an append: `appended`; `behind`, as the log ends elsewhere
- * and nothing was done; `refused`, nothing was done; or `unknown`, it may have
- * been done or be done seconds later if the log still ends at the offset.
+ * Outcome of an append:
+ *
+ * - `appended`: the record is in the log.
+ * - `behind`: the log does not end at the expected offset. Nothing was appended.
+ * - `refused`: nothing was appended.
+ * - `unknown`: the record may have been appended, or may still be appended
+ *   seconds later if the log then ends at the expected offset.
  */
 export type AppendOutcome =
 	| {readonly kind: 'appended'; readonly offset: number}
@@ -34,20 +38,20 @@
 
 /** Options of {@linkcode KeyedLog.read}. */
 export type ReadKeyedOptions = {
-	/** Milliseconds for which the log may hold the answer back for a new record. */
+	/** Maximum time that the log waits for a new record before it answers, in milliseconds. */
 	readonly wait: number;
 	readonly signal: AbortSignal;
 };
 
 /** Options of {@linkcode KeyedLog.append}. */
 export type AppendKeyedOptions = {
-	/** Append only if the log ends here; default wherever it ends. */
+	/** Offset at which the log must end for the append to succeed; defaults to no condition. */
 	readonly at?: number;
 };
 
-/** Client of one keyed log. */
+/** Client of a keyed log. */
 export type KeyedLog = {
-	/** Its name in logs and metrics. */
+	/** Name of the log in log events and metrics. */
 	readonly name: string;
 	readonly readNewest: () => Promise<Result<NewestRecords, Failure>>;
 	readonly read: (from: number, options: ReadKeyedOptions) => Promise<Result<KeyedPage, KeyedReadFailure>>;
--- a/src/protocol/line-log.test.ts
+++ b/src/protocol/line-log.test.ts
@@ -5,7 +5,7 @@
 import {expect, test} from 'vitest';
 import {createLineLog, type LineSink} from './mod.js';
 
-test('lines for a reader that stopped are dropped, counted, and told once it reads on', () => {
+test('lines are dropped while the reader is blocked, and their number is logged once it continues', () => {
 	const lines: string[] = [];
 	const sink = {
 		writableLength: 0,
@@ -27,9 +27,9 @@
 	expect(log.counts.get('daemonStopped')).toBe(4);
 });
 
-test('a process whose output nobody reads goes on', {timeout: 20_000}, async () => {
-	// All callers wait: whoever collects the logs has stopped, the pipe is
-	// full, and a write to it blocks the gateway.
+test('a process does not block when its output is not read', {timeout: 20_000}, async () => {
+	// Guards against a log collector that stops reading: the pipe fills up, and
+	// if writes to it block the gateway, all callers wait.
 	const module = pathToFileURL('dist/src/protocol/line-log.js').href;
 	const script = `
 		const {createLineLog} = await import('${module}');
@@ -41,7 +41,7 @@
 		process.exit();
 	`;
 	const child = spawn(process.execPath, ['--input-type=module', '--eval', script], {stdio: ['ignore', 'pipe', 'pipe']});
-	const [told] = await once(child.stderr, 'data') as [unknown];
-	expect(String(told)).toBe('done');
+	const [output] = await once(child.stderr, 'data') as [unknown];
+	expect(String(output)).toBe('done');
 	child.kill('SIGKILL');
 });
--- a/src/protocol/line-log.ts
+++ b/src/protocol/line-log.ts
@@ -1,16 +1,16 @@
 /**
- * Structured log of a daemon: one JSON line an event, bounded and never
- * blocking.
+ * Structured log of a daemon with one JSON line per event. It never blocks and
+ * buffers a limited amount of output.
  *
  * @module
  */
 import {eventCatalogue, type EventName} from './event-catalogue.js';
 import type {EventLog} from './event-log.js';
 
-/** Where lines go; a stream such as the standard output. */
+/** Destination of the lines: a stream such as standard output. */
 export type LineSink = {
 	readonly write: (text: string) => boolean;
-	/** Bytes written and not yet taken by the reader. */
+	/** Bytes that are written but not yet consumed by the reader. */
 	readonly writableLength: number;
 };
 
@@ -18,12 +18,12 @@
 export type CreateLineLogOptions = {
 	readonly daemon: string;
 	readonly sink: LineSink;
-	/** Events that are counted and not written; default none. */
-	readonly silent?: ReadonlySet<EventName>;
+	/** Events that are counted but not written; defaults to none. */
+	readonly countOnly?: ReadonlySet<EventName>;
 };
 
-/** Bytes that may wait for a slow reader; beyond it lines are dropped and counted, so that logging blocks nothing. */
-const waitingLimit = 262_144;
+/** If more bytes than this wait for a slow reader, lines are dropped and counted instead of blocking the daemon. */
+const maxBufferedBytes = 262_144;
 
 /**
  * Creates a structured log.
@@ -34,11 +34,11 @@
  * // {"at":"2026-01-31T08:00:00.000Z","daemon":"entry-1","event":"FL1201","text":"grant claimed","sequence":3}
  * ```
  *
- * @param options The daemon's name and where lines go
+ * @param options The daemon's name, the destination of the lines and the events to count only
  * @returns The log
  */
 export function createLineLog(options: CreateLineLogOptions): EventLog {
-	const {daemon, sink, silent} = options;
+	const {daemon, sink, countOnly} = options;
 	const counts = new Map<EventName, number>();
 	let dropped = 0;
 
@@ -53,11 +53,11 @@
 		counts,
 		write(name, fields = {}) {
 			counts.set(name, (counts.get(name) ?? 0) + 1);
-			if (silent?.has(name)) {
+			if (countOnly?.has(name)) {
 				return;
 			}
 
-			if (sink.writableLength > waitingLimit) {
+			if (sink.writableLength > maxBufferedBytes) {
 				dropped += 1;
 				return;
 			}
--- a/src/protocol/mod.ts
+++ b/src/protocol/mod.ts
@@ -1,6 +1,7 @@
 /**
- * What daemons, callers, operators and the log say to each other: schemas,
- * generated messages, failures and events. The lowest layer; calls none.
+ * The protocols between daemons, callers, operators and the log: schemas,
+ * generated messages, failures and events. This is the lowest layer and imports
+ * no other.
  *
  * @module
  */
--- a/src/protocol/read-settings.test.ts
+++ b/src/protocol/read-settings.test.ts
@@ -18,18 +18,18 @@
 	]);
 });
 
-test('parseSettings() refuses a host name', () => {
+test('parseSettings() rejects a host name', () => {
 	const issues = parseSettings(`id: entry-1\nrole: entry\nfailureDomain: d\n${secrets}\nlog: {url: 'http://127.0.0.1:1'}\n${listen.replace('{port: 0}', '{host: localhost, port: 0}')}`);
 	expect(issues.err).toBe(true);
 });
 
-test('parseSettings() locates an issue of a deployment in its shared part once', () => {
+test('parseSettings() reports an issue in the shared part of a deployment file once', () => {
 	const text = 'shared:\n  failureDomain: d\n  heartbeat: {every: 5}\ndaemons:\n  - {id: a, role: entry}\n  - {id: b, role: entry}\n';
 	const issues = parseSettings(text, {daemon: 'a'}).val as Array<{line: number; path: string}>;
 	expect(issues.filter(issue => issue.path === 'shared.heartbeat.every')).toEqual([expect.objectContaining({line: 3})]);
 });
 
-test('parseSettings() asks which daemon of a deployment is meant', () => {
+test('parseSettings() fails if a deployment file has no daemon to select', () => {
 	expect(parseSettings('daemons: []').err).toBe(true);
 });
 
--- a/src/protocol/read-settings.ts
+++ b/src/protocol/read-settings.ts
@@ -1,6 +1,6 @@
 /**
- * Reads a daemon's settings and reports everything that is wrong with them at
- * once, each with its path and line.
+ * Reads and validates a daemon's settings. All issues are reported at once, each
+ * with its path and line.
  *
  * @module
  */
@@ -13,10 +13,10 @@
 import {Err, Ok, type Result} from './results.js';
 import {settingsSchema, type Settings} from './settings.js';
 
-/** One thing wrong with a settings file. */
+/** One problem in a settings file. */
 export type SettingsIssue = {
 	readonly line: number;
-	/** Members from the root, joined by dots. */
+	/** Keys from the root of the settings, joined by dots. */
 	readonly path: string;
 	readonly message: string;
 };
@@ -34,7 +34,7 @@
 }
 
 /** @internal */
-function listIssues(issue: z.core.$ZodIssue): Array<{path: PropertyKey[]; message: string}> {
+function expandIssue(issue: z.core.$ZodIssue): Array<{path: PropertyKey[]; message: string}> {
 	if (issue.code === 'unrecognized_keys') {
 		return issue.keys.map(key => ({path: [...issue.path, key], message: `Unknown key "${key}"`}));
 	}
@@ -44,17 +44,17 @@
 
 /** Options of {@linkcode parseSettings} and {@linkcode readSettings}. */
 export type ParseSettingsOptions = {
-	/** The daemon wanted of a deployment file; default the only one. */
+	/** Id of the daemon to select from a deployment file; may be omitted if the file describes only one. */
 	readonly daemon?: string;
 };
 
-/** Settings of one daemon in a document, with the way from its members to their lines. */
-type Candidate = {
+/** Unvalidated settings of one daemon. `toDocumentPath` maps a path in its settings to the path in the document. */
+type UncheckedSettings = {
 	readonly value: unknown;
-	readonly locate: (path: readonly PropertyKey[]) => PropertyKey[];
+	readonly toDocumentPath: (path: readonly PropertyKey[]) => PropertyKey[];
 };
 
-const deploymentMembers: ReadonlySet<string> = new Set(['deployment', 'shared', 'daemons']);
+const deploymentKeys: ReadonlySet<string> = new Set(['deployment', 'shared', 'daemons']);
 
 /** @internal */
 function isRecord(value: unknown): value is Record<string, unknown> {
@@ -62,16 +62,16 @@
 }
 
 /** @internal */
-function listCandidates(document: Document): Candidate[] {
+function listUncheckedSettings(document: Document): UncheckedSettings[] {
 	const value = document.toJS() as unknown;
 	if (!isRecord(value) || !Array.isArray(value.daemons)) {
-		return [{value, locate: path => [...path]}];
+		return [{value, toDocumentPath: path => [...path]}];
 	}
 
 	const shared = isRecord(value.shared) ? value.shared : {};
 	return value.daemons.map((daemon: unknown, index) => ({
 		value: isRecord(daemon) ? {...shared, ...daemon} : daemon,
-		locate(path) {
+		toDocumentPath(path) {
 			const isOwn = path.length === 0 || (isRecord(daemon) && Object.hasOwn(daemon, path[0]!)) || !Object.hasOwn(shared, path[0]!);
 			return isOwn ? ['daemons', index, ...path] : ['shared', ...path];
 		},
@@ -79,65 +79,66 @@
 }
 
 /** @internal */
-function listUnknownMembers(document: Document): PropertyKey[][] {
+function listUnknownKeys(document: Document): PropertyKey[][] {
 	const value = document.toJS() as unknown;
 	const isDeployment = isRecord(value) && Array.isArray(value.daemons);
-	return isDeployment ? Object.keys(value).filter(key => !deploymentMembers.has(key)).map(key => [key]) : [];
+	return isDeployment ? Object.keys(value).filter(key => !deploymentKeys.has(key)).map(key => [key]) : [];
 }
 
 /** @internal */
-function checkCandidates(document: Document, lines: LineCounter, candidates: readonly Candidate[]): Result<Settings[], SettingsIssue[]> {
+function validateSettings(document: Document, lines: LineCounter, daemons: readonly UncheckedSettings[]): Result<Settings[], SettingsIssue[]> {
 	const issues = new Map<string, SettingsIssue>();
-	const note = (path: readonly PropertyKey[], message: string) => {
+	const addIssue = (path: readonly PropertyKey[], message: string) => {
 		const issue = {line: findLine(document, lines, path), path: path.join('.'), message};
 		issues.set(`${issue.path}: ${message}`, issue);
 	};
 
-	for (const path of listUnknownMembers(document)) {
-		note(path, `Unknown key "${String(path[0])}"`);
+	for (const path of listUnknownKeys(document)) {
+		addIssue(path, `Unknown key "${String(path[0])}"`);
 	}
 
-	const checked: Settings[] = [];
-	for (const candidate of candidates) {
-		const parsed = settingsSchema.safeParse(candidate.value);
+	const valid: Settings[] = [];
+	for (const daemon of daemons) {
+		const parsed = settingsSchema.safeParse(daemon.value);
 		if (parsed.success) {
-			checked.push(parsed.data);
+			valid.push(parsed.data);
 			continue;
 		}
 
-		for (const {path, message} of parsed.error.issues.flatMap(issue => listIssues(issue))) {
-			note(candidate.locate(path), message);
+		for (const {path, message} of parsed.error.issues.flatMap(issue => expandIssue(issue))) {
+			addIssue(daemon.toDocumentPath(path), message);
 		}
 	}
 
-	return issues.size === 0 ? Ok(checked) : Err([...issues.values()].toSorted((left, right) => left.line - right.line));
+	return issues.size === 0 ? Ok(valid) : Err([...issues.values()].toSorted((left, right) => left.line - right.line));
 }
 
 /** @internal */
-function pickDaemon(daemons: readonly Settings[], wanted: string | undefined): Result<Settings, SettingsIssue[]> {
-	const found = wanted === undefined && daemons.length === 1 ? daemons[0] : daemons.find(daemon => daemon.id === wanted);
+function selectDaemon(daemons: readonly Settings[], id: string | undefined): Result<Settings, SettingsIssue[]> {
+	const found = id === undefined && daemons.length === 1 ? daemons[0] : daemons.find(daemon => daemon.id === id);
 	if (found) {
 		return Ok(found);
 	}
 
 	const names = daemons.map(daemon => daemon.id).join(', ');
-	const message = wanted === undefined
-		? `The file describes ${daemons.length} daemons: name one of ${names} with --daemon`
-		: `There is no daemon "${wanted}"; the file describes ${names}`;
+	const message = id === undefined
+		? `The file describes ${daemons.length} daemons: select one of ${names} with --daemon`
+		: `Daemon "${id}" not found: the file describes ${names}`;
 	return Err([{line: 1, path: 'daemons', message}]);
 }
 
 /**
- * Parses a settings file of one daemon, or a deployment file whose `shared`
- * members hold for each of its `daemons`, and checks every daemon in it.
+ * Parses and validates a settings file. The file contains the settings of one
+ * daemon, or is a deployment file with a list of `daemons`. The `shared` settings
+ * of a deployment file apply to each daemon that does not override them.
  *
- * @example Nothing but a role
+ * @example Settings with only a role
  * ```ts
- * parseDeployment('role: entry').err; // true, with an issue for each missing member
+ * parseDeployment('role: entry').err; // true, with an issue for each missing key
  * ```
  *
  * @param text YAML
- * @returns The settings of all daemons, or all issues in the order of their lines
+ * @returns The settings of all daemons, or all issues ordered by line
  */
 export function parseDeployment(text: string): Result<Settings[], SettingsIssue[]> {
 	const lines = new LineCounter();
@@ -146,7 +147,7 @@
 		return Err(document.errors.map(error => ({line: error.linePos?.[0].line ?? 1, path: '', message: error.message.split('\n')[0] ?? ''})));
 	}
 
-	return checkCandidates(document, lines, listCandidates(document));
+	return validateSettings(document, lines, listUncheckedSettings(document));
 }
 
 /**
@@ -158,15 +159,15 @@
  * ```
  *
  * @param text YAML
- * @param options Which daemon of a deployment file
- * @returns The settings, or all issues in the order of their lines
+ * @param options The daemon to select from a deployment file
+ * @returns The settings, or all issues ordered by line
  */
 export function parseSettings(text: string, options: ParseSettingsOptions = {}): Result<Settings, SettingsIssue[]> {
-	return parseDeployment(text).andThen(daemons => pickDaemon(daemons, options.daemon));
+	return parseDeployment(text).andThen(daemons => selectDaemon(daemons, options.daemon));
 }
 
 /** @internal */
-function readText(file: string): Result<string, SettingsIssue[]> {
+function readSettingsText(file: string): Result<string, SettingsIssue[]> {
 	try {
 		return Ok(readFileSync(file, 'utf8'));
 	} catch (error) {
@@ -183,15 +184,15 @@
  * ```
  *
  * @param file The file's path
- * @param options Which daemon of a deployment file
+ * @param options The daemon to select from a deployment file
  * @returns The settings, or all issues
  */
 export function readSettings(file: string, options: ParseSettingsOptions = {}): Result<Settings, SettingsIssue[]> {
-	return readText(file).andThen(text => parseSettings(text, options));
+	return readSettingsText(file).andThen(text => parseSettings(text, options));
 }
 
 /**
- * Checks every daemon of a settings file.
+ * Validates the settings of every daemon in a file.
  *
  * @example
  * ```ts
@@ -202,11 +203,11 @@
  * @returns The settings of all daemons, or all issues
  */
 export function checkSettings(file: string): Result<Settings[], SettingsIssue[]> {
-	return readText(file).andThen(text => parseDeployment(text));
+	return readSettingsText(file).andThen(text => parseDeployment(text));
 }
 
 /**
- * Reads a secret from where the settings say it is.
+ * Reads a secret from the file or environment variable named in the settings.
  *
  * @example
  * ```ts
@@ -214,7 +215,7 @@
  * ```
  *
  * @param source The file or the environment variable
- * @returns The secret, or why it cannot be had
+ * @returns The secret, or an error message
  */
 export function readSecret(source: Settings['fleetKey']): Result<string, string> {
 	try {
--- a/src/protocol/records.ts
+++ b/src/protocol/records.ts
@@ -1,28 +1,28 @@
 /**
- * The records of the system's stream on the platform's log.
+ * The records that the fleet writes to its stream in the platform's log.
  *
- * Every daemon folds the same records in offset order, so that the log's order
- * decides and no daemon does.
+ * Every daemon folds the same records in offset order, so conflicts are resolved
+ * by the order of the log and not by any daemon.
  *
  * @module
  */
 import * as z from 'zod';
 import {changeSchema} from './changes.js';
 
-const tokens = z.number().int().nonnegative();
+const tokenCountSchema = z.number().int().nonnegative();
 
-/** Schema of tokens of one grant. */
-export const shareSchema = z.strictObject({grant: z.string(), amount: tokens});
+/** Schema of an amount of tokens from one grant. */
+export const grantShareSchema = z.strictObject({grant: z.string(), amount: tokenCountSchema});
 
-/** Schema of one receipt: what one request cost, under each grant. */
+/** Schema of a receipt: the cost of one request, by grant. */
 export const receiptSchema = z.strictObject({
 	request: z.string(),
-	/** The attempt whose reservation it is billed to. */
+	/** The attempt whose reservation is billed. */
 	attempt: z.number(),
-	shares: z.array(shareSchema),
+	shares: z.array(grantShareSchema),
 });
 
-/** Schema of a daemon's announcement of one of its incarnations. */
+/** Schema of the record that announces an incarnation of a daemon. */
 export const joinSchema = z.strictObject({
 	kind: z.literal('join'),
 	daemon: z.string(),
@@ -30,7 +30,7 @@
 	role: z.enum(['entry', 'upstream']),
 	address: z.string(),
 	failureDomain: z.string(),
-	/** Models or services that an upstream daemon stands before. */
+	/** Models or services that an upstream daemon serves. */
 	serves: z.array(z.string()),
 	work: z.enum(['model', 'service', 'none']),
 });
@@ -38,18 +38,18 @@
 /** Schema of a log record. */
 export const recordSchema = z.discriminatedUnion('kind', [
 	joinSchema,
-	/** Ends an incarnation: `graceful` by itself with all receipts appended, else by a peer that lost it. */
+	/** Ends an incarnation. `graceful`: by itself, after it appended all receipts; otherwise by a peer that presumed it failed. */
 	z.strictObject({
 		kind: z.literal('leave'), daemon: z.string(), incarnation: z.string(), graceful: z.boolean(), by: z.string(),
 	}),
 	z.strictObject({
-		kind: z.literal('claim'), grant: z.string(), budget: z.string(), daemon: z.string(), incarnation: z.string(), amount: tokens,
+		kind: z.literal('claim'), grant: z.string(), budget: z.string(), daemon: z.string(), incarnation: z.string(), amount: tokenCountSchema,
 	}),
 	z.strictObject({
-		kind: z.literal('release'), id: z.string(), grant: z.string(), amount: tokens, final: z.boolean(),
+		kind: z.literal('release'), id: z.string(), grant: z.string(), amount: tokenCountSchema, final: z.boolean(),
 	}),
 	z.strictObject({kind: z.literal('close'), grant: z.string(), by: z.string()}),
-	/** Says that the upstream daemon refuses the grants and has appended all receipts under them. */
+	/** Reports that an upstream daemon no longer accepts the grants and has appended all receipts under them. */
 	z.strictObject({
 		kind: z.literal('report'), grants: z.array(z.string()), daemon: z.string(), incarnation: z.string(),
 	}),
@@ -68,31 +68,31 @@
 
 export type LogRecord = z.infer<typeof recordSchema>;
 export type Join = z.infer<typeof joinSchema>;
-export type GrantShare = z.infer<typeof shareSchema>;
+export type GrantShare = z.infer<typeof grantShareSchema>;
 export type Receipt = z.infer<typeof receiptSchema>;
 
 /** A record of one kind. */
 export type RecordOf<Kind extends LogRecord['kind']> = Extract<LogRecord, {kind: Kind}>;
 
-/** Schema of a record with the place and time the log gave it. */
-export const entrySchema = z.object({
+/** Schema of a record with the offset and time assigned by the log. */
+export const logEntrySchema = z.object({
 	offset: z.number().int().nonnegative(),
 	/** Milliseconds since the epoch, by the log's clock. */
 	at: z.number(),
 	data: z.unknown(),
 });
 
-/** A record with the place and time the log gave it. */
-export type LogEntry = z.infer<typeof entrySchema>;
+/** A record with the offset and time assigned by the log. */
+export type LogEntry = z.infer<typeof logEntrySchema>;
 
-/** Schema of an answer to a read of the log. */
+/** Schema of the answer to a log read. */
 export const pageSchema = z.object({
-	records: z.array(entrySchema),
-	/** The oldest offset that is still kept. */
+	records: z.array(logEntrySchema),
+	/** The oldest offset that the log still retains. */
 	first: z.number(),
 	/** The offset after the newest record. */
 	next: z.number(),
 });
 
-/** An answer to a read of the log. */
+/** The answer to a log read. */
 export type LogPage = z.infer<typeof pageSchema>;
--- a/src/protocol/request-id.ts
+++ b/src/protocol/request-id.ts
@@ -1,23 +1,25 @@
 /**
- * Identities and digests.
+ * Request ids, unique ids, digests and secret comparison.
  *
  * @module
  */
 import {createHash, randomUUID, timingSafeEqual} from 'node:crypto';
 
-const idLength = 22;
+/** Characters of base64 with 6 bits each: 132 bits. */
+const requestIdLength = 22;
 
 /** Options of {@linkcode computeRequestId}. */
 export type ComputeRequestIdOptions = {
-	/** The service or model, so that one key may serve two of them. */
+	/** The service or model. The same idempotency key may be used for different targets. */
 	readonly target: string;
 };
 
 /**
- * Computes the identity of a caller request.
+ * Computes the id of a caller request.
  *
- * The customer comes from the authenticated key and is part of the digest, so
- * that guessing another customer's idempotency key names a different request.
+ * The digest includes the customer, which comes from the authenticated key. A
+ * caller that guesses an idempotency key of another customer therefore gets the
+ * id of a different request.
  *
  * @example
  * ```ts
@@ -31,18 +33,18 @@
  */
 export function computeRequestId(customer: string, key: string, options: ComputeRequestIdOptions): string {
 	const hash = createHash('sha256').update(JSON.stringify([customer, options.target, key]));
-	return hash.digest('base64url').slice(0, idLength);
+	return hash.digest('base64url').slice(0, requestIdLength);
 }
 
 /**
- * Computes the hex SHA-256 digest of a text or of bytes.
+ * Computes the hex SHA-256 digest of a string or bytes.
  *
  * @example
  * ```ts
  * computeDigest('a'); // 'ca978112…'
  * ```
  *
- * @param data What to digest
+ * @param data The input
  * @returns 64 hex characters
  */
 export function computeDigest(data: string | Uint8Array): string {
@@ -50,14 +52,14 @@
 }
 
 /**
- * Creates a unique identity with a readable prefix.
+ * Creates a unique id with a readable prefix.
  *
  * @example
  * ```ts
  * createId('g'); // 'g-0b9c…'
  * ```
  *
- * @param prefix What the identity is of
+ * @param prefix Abbreviation of the kind of object
  * @returns The prefix, a dash and 128 random bits
  */
 export function createId(prefix: string): string {
@@ -72,9 +74,9 @@
  * isSameSecret('a', 'b'); // false
  * ```
  *
- * @param given The secret that came with a request
+ * @param given The secret received with a request
  * @param expected The secret from the settings
- * @returns True when both are equal
+ * @returns True if both are equal
  */
 export function isSameSecret(given: string, expected: string): boolean {
 	const left = createHash('sha256').update(given).digest();
--- a/src/protocol/results.ts
+++ b/src/protocol/results.ts
@@ -1,6 +1,6 @@
 /**
- * The one place that imports `ts-results`, a CommonJS package whose names
- * Node.js cannot bind from an ES module.
+ * Re-exports `ts-results`. Only this module imports it, because it is a CommonJS
+ * package and Node.js does not detect its named exports.
  *
  * @module
  */
@@ -8,10 +8,10 @@
 
 export type {Result} from 'ts-results';
 
-/* eslint-disable @typescript-eslint/naming-convention -- the names that ts-results gives them */
-/** Builds a successful {@linkcode Result}. */
+/* eslint-disable @typescript-eslint/naming-convention -- names defined by ts-results */
+/** Creates a successful {@linkcode Result}. */
 export const {Ok} = results;
 
-/** Builds a failed {@linkcode Result}. */
+/** Creates a failed {@linkcode Result}. */
 export const {Err} = results;
 /* eslint-enable @typescript-eslint/naming-convention */
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -1,99 +1,99 @@
 /**
- * The settings of a daemon.
+ * The settings of entry and upstream daemons.
  *
  * @module
  */
 import {isIP} from 'node:net';
 import * as z from 'zod';
-import {sizeSchema, spanSchema} from './units.js';
+import {durationSchema, sizeSchema} from './units.js';
 
 const addressSchema = z.strictObject({
-	/** An IP number. */
-	host: z.string().refine(host => isIP(host) !== 0, 'Give an IP number; names are not resolved').default('127.0.0.1'),
-	/** 0 lets the system choose. */
+	/** An IP address. */
+	host: z.string().refine(host => isIP(host) !== 0, 'Expected an IP address: host names are not resolved').default('127.0.0.1'),
+	/** With 0, the operating system assigns a port. */
 	port: z.number().int().min(0).max(65_535),
 });
 
-const urlSchema = z.url({protocol: /^https?$/, error: 'Give an http or https address'});
+const urlSchema = z.url({protocol: /^https?$/, error: 'Expected an http or https URL'});
 
 const secretSchema = z.union([
 	z.strictObject({file: z.string().min(1)}),
 	z.strictObject({environment: z.string().min(1)}),
-], 'Name the source of the secret: "file" or "environment"');
+], 'Expected the source of the secret: "file" or "environment"');
 
-const shared = {
-	/** The daemon's name, unique in the fleet and kept when its host is replaced. */
-	id: z.string().regex(/^[a-z\d][a-z\d-]{0,63}$/, 'Use 1 to 64 lower-case letters, digits or dashes'),
+const commonSettings = {
+	/** The daemon's name, which is unique in the fleet and stays the same when its host is replaced. */
+	id: z.string().regex(/^[a-z\d][a-z\d-]{0,63}$/, 'Expected 1 to 64 lower-case letters, digits or dashes'),
 	failureDomain: z.string().min(1),
 	fleetKey: secretSchema,
 	operatorKey: secretSchema,
 	log: z.strictObject({
 		url: urlSchema,
 		stream: z.string().regex(/^[a-z\d-]+$/).default('fleet'),
-		/** How long an append or read may take. */
-		timeout: spanSchema.default(3000),
-		/** A snapshot is appended after this many records. */
+		/** Maximum duration of an append or read. */
+		timeout: durationSchema.default(3000),
+		/** Number of records after which a snapshot is appended. */
 		snapshotEvery: z.number().int().positive().default(2000),
-		/** How long receipts and runs stay known; longer than any retry. */
-		window: spanSchema.default(3_600_000),
+		/** How long receipts and runs are remembered. Must be longer than any request is retried. */
+		window: durationSchema.default(3_600_000),
 	}),
-	hostList: z.strictObject({url: urlSchema, every: spanSchema.default(1000)}).optional(),
-	/** Where peers reach this daemon, when that is not where it listens. */
-	advertise: z.string().regex(/^[\d.:[\]a-f]+:\d+$/, 'Give an IP number and a port').optional(),
-	/** Peers to ask when the log is away at the start: IP number and port. */
-	peers: z.array(z.string().regex(/^[\d.:[\]a-f]+:\d+$/, 'Give an IP number and a port')).default([]),
+	hostList: z.strictObject({url: urlSchema, every: durationSchema.default(1000)}).optional(),
+	/** Address at which peers reach this daemon, if it differs from the listen address. */
+	advertise: z.string().regex(/^[\d.:[\]a-f]+:\d+$/, 'Expected an IP address and a port').optional(),
+	/** Peers to contact if the log is unavailable at startup, as IP address and port. */
+	peers: z.array(z.string().regex(/^[\d.:[\]a-f]+:\d+$/, 'Expected an IP address and a port')).default([]),
 	heartbeat: z.strictObject({
-		every: spanSchema.default(500),
-		/** A peer that is silent for this long is suspected. */
-		suspectAfter: spanSchema.default(3000),
+		every: durationSchema.default(500),
+		/** Time without a response after which a peer is suspected. */
+		suspectAfter: durationSchema.default(3000),
 	}).prefault({}),
-	/** How long a stop may wait for running requests. */
-	stopWithin: spanSchema.default(60_000),
+	/** Maximum time that a stop waits for running requests. */
+	stopWithin: durationSchema.default(60_000),
 };
 
 /** Schema of an entry daemon's settings. */
 export const entrySettingsSchema = z.strictObject({
 	role: z.literal('entry'),
-	...shared,
+	...commonSettings,
 	listen: z.strictObject({callers: addressSchema, operators: addressSchema, peers: addressSchema}),
 	requests: z.strictObject({
-		/** Largest body of a caller's request. */
+		/** Maximum size of the body of a caller's request. */
 		largestBody: sizeSchema.default(1_048_576),
-		/** Deadline of a request that names none. */
-		deadline: spanSchema.default(60_000),
-		longestDeadline: spanSchema.default(600_000),
-		/** Retries as a share of requests. */
+		/** Default deadline, for requests that do not specify one. */
+		deadline: durationSchema.default(60_000),
+		longestDeadline: durationSchema.default(600_000),
+		/** Maximum retries as a share of requests. */
 		retryShare: z.number().min(0).max(1).default(0.2),
 	}).prefault({}),
 	grants: z.strictObject({
-		/** Demand that a grant should cover, for budgets that weigh refusals. */
-		horizon: spanSchema.default(3_600_000),
-		/** The same for budgets that weigh overspend. */
-		shortHorizon: spanSchema.default(300_000),
-		every: spanSchema.default(250),
+		/** Duration of demand that a grant should cover, for budgets with `weighs: refusals`. */
+		horizon: durationSchema.default(3_600_000),
+		/** The same for budgets with `weighs: overspend`. */
+		shortHorizon: durationSchema.default(300_000),
+		every: durationSchema.default(250),
 	}).prefault({}),
 });
 
 /** Schema of an upstream daemon's settings. */
 export const upstreamSettingsSchema = z.strictObject({
 	role: z.literal('upstream'),
-	...shared,
+	...commonSettings,
 	listen: z.strictObject({operators: addressSchema, peers: addressSchema}),
 	upstream: z.strictObject({
 		work: z.enum(['model', 'service']),
 		url: urlSchema,
-		/** Models or services behind this daemon. */
+		/** Models or services that this daemon serves. */
 		serves: z.array(z.string()).min(1),
-		/** Requests that run at once; more wait in a queue. */
+		/** Maximum number of concurrent requests; further requests are queued. */
 		capacity: z.number().int().positive().default(64),
-		/** Requests that may wait; more are refused. */
+		/** Maximum number of queued requests; further requests are refused. */
 		queue: z.number().int().nonnegative().default(256),
-		/** Silence after which the upstream's connection counts as lost. */
-		silence: spanSchema.default(5000),
+		/** Time without data after which the connection to the upstream is considered broken. */
+		silence: durationSchema.default(5000),
 	}),
-	/** Memory for finished answers. */
+	/** Size of the memory for finished answers. */
 	answers: sizeSchema.default(33_554_432),
-	receipts: z.strictObject({every: spanSchema.default(500)}).prefault({}),
+	receipts: z.strictObject({every: durationSchema.default(500)}).prefault({}),
 });
 
 /** Schema of a daemon's settings. */
--- a/src/protocol/units.ts
+++ b/src/protocol/units.ts
@@ -1,11 +1,11 @@
 /**
- * Quantities in settings carry their unit: `500ms`, `3s`, `64KB`.
+ * Parsing of quantities with a unit in settings, such as `500ms`, `3s` or `64KB`.
  *
  * @module
  */
 import * as z from 'zod';
 
-const spanUnits: Readonly<Record<string, number>> = {
+const durationUnits: Readonly<Record<string, number>> = {
 	ms: 1, s: 1000, min: 60_000, h: 3_600_000,
 };
 const sizeUnits: Readonly<Record<string, number>> = {
@@ -27,7 +27,7 @@
 	return z.union([z.string(), z.number()]).transform((value, context) => {
 		const parsed = parseQuantity(String(value), units);
 		if (parsed === undefined) {
-			context.addIssue({code: 'custom', message: `Cannot read ${JSON.stringify(value)} as a ${kind}: write a number with one of the units ${names}`});
+			context.addIssue({code: 'custom', message: `Invalid value ${JSON.stringify(value)} for a ${kind}: expected a number with one of the units ${names}`});
 			return z.NEVER;
 		}
 
@@ -35,14 +35,14 @@
 	});
 }
 
-/** Schema of a span of time, read into milliseconds. */
-export const spanSchema = createQuantitySchema('span of time', spanUnits);
+/** Schema of a duration, parsed to milliseconds. */
+export const durationSchema = createQuantitySchema('duration', durationUnits);
 
-/** Schema of a size, read into bytes. */
+/** Schema of a size, parsed to bytes. */
 export const sizeSchema = createQuantitySchema('size', sizeUnits);
 
 /**
- * Reads a span of time.
+ * Parses a duration.
  *
  * @example
  * ```ts
@@ -50,8 +50,8 @@
  * ```
  *
  * @param text A number with a unit
- * @returns Milliseconds, or undefined when the text is no span
+ * @returns Milliseconds, or undefined if the text is not a duration
  */
 export function readSpan(text: string): number | undefined {
-	return parseQuantity(text, spanUnits);
+	return parseQuantity(text, durationUnits);
 }
