--- a/src/coordination/attempt-runner.ts
+++ b/src/coordination/attempt-runner.ts
@@ -7,7 +7,7 @@
  */
 import {createHash, randomInt} from 'node:crypto';
 import {
-	Ok, computeDigest, createFailure, isFailureType, ranSchema,
+	Ok, computeDigest, createFailure, isFailureType, runStatusSchema,
 	type Done, type EventLog, type Failure, type GrantShare, type Refused, type Result, type RunFrame, type Work,
 } from '../protocol/mod.js';
 import type {AnswerEnd, Member, Reservation} from '../state/mod.js';
@@ -93,7 +93,7 @@
 
 /** @internal */
 function readRefusal(refused: Refused): Failure {
-	const ran = ranSchema.safeParse(refused.ran);
+	const ran = runStatusSchema.safeParse(refused.ran);
 	return createFailure(isFailureType(refused.code) ? refused.code : 'internal', refused.detail, {
 		ran: ran.data ?? 'unknown',
 		retryAfterMs: refused.retryAfterMs || undefined,
@@ -135,7 +135,7 @@
  */
 export function createAttemptRunner(options: CreateAttemptRunnerOptions) {
 	const {
-		follower, membership, fleet, grants: grants, settler, routes: routes, clock, events,
+		follower, membership, fleet, grants, settler, routes, clock, events,
 	} = options;
 
 	function isCurrent(member: Readonly<Member>): boolean {
--- a/src/coordination/budget-manager.ts
+++ b/src/coordination/budget-manager.ts
@@ -206,7 +206,7 @@
 		sequence = record.sequence;
 		applyDecreases(record);
 		const value = JSON.stringify(record);
-		const outcome = await log.append({key, value}, {at: nextOffset});
+		const outcome = await log.append({key, value}, {expectedEnd: nextOffset});
 		switch (outcome.kind) {
 			case 'appended': {
 				claimDurationMs = clock.now() - (roundStartedAt ?? clock.now());
--- a/src/coordination/crash-detector.ts
+++ b/src/coordination/crash-detector.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type {UpstreamEntry} from '../protocol/mod.js';
+import type {UpstreamRegistration} from '../protocol/mod.js';
 import type {ProbeVerdict} from '../transport/mod.js';
 
 /** Options of {@linkcode createCrashDetector}. */
@@ -40,7 +40,7 @@
 	const pendingProbes = new Map<string, Promise<ProbeVerdict>>();
 
 	// Requests that lose their connections at the same time share one probe.
-	async function probeShared({id, address}: UpstreamEntry): Promise<ProbeVerdict> {
+	async function probeShared({id, address}: UpstreamRegistration): Promise<ProbeVerdict> {
 		const pending = pendingProbes.get(id) ?? options.probe(address);
 		pendingProbes.set(id, pending);
 		try {
@@ -59,7 +59,7 @@
 
 	return {
 		/** Returns true if the process of an upstream has crashed, after the connection to it was lost. */
-		async hasCrashed(upstream: UpstreamEntry): Promise<boolean> {
+		async hasCrashed(upstream: UpstreamRegistration): Promise<boolean> {
 			if (crashedIds.has(upstream.id)) {
 				return true;
 			}
--- a/src/coordination/expiry-grace.ts
+++ b/src/coordination/expiry-grace.ts
@@ -47,7 +47,7 @@
  * @param options The interval at which upstreams renew their registrations
  * @returns The grace period
  */
-export function createExpiryGrace({heartbeatIntervalMs: heartbeatIntervalMs}: CreateExpiryGraceOptions) {
+export function createExpiryGrace({heartbeatIntervalMs}: CreateExpiryGraceOptions) {
 	let graceEnd = Number.NEGATIVE_INFINITY;
 
 	return {
--- a/src/coordination/forward-types.ts
+++ b/src/coordination/forward-types.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type {
-	Failure, Generation, RawHeaders, Route, GatewayService,
+	Failure, GenerationParameters, RawHeaders, Route, GatewayService,
 } from '../protocol/mod.js';
 
 /** Writes the answer to the caller. */
@@ -35,7 +35,7 @@
 	readonly path: string;
 	readonly rawHeaders: RawHeaders;
 	readonly body: Uint8Array | undefined;
-	readonly generation: Generation | undefined;
+	readonly generation: GenerationParameters | undefined;
 	readonly lastEventId: string | undefined;
 	/** Start of the request, in milliseconds of the monotonic clock. */
 	readonly startedAt: number;
--- a/src/coordination/keyed-follower.ts
+++ b/src/coordination/keyed-follower.ts
@@ -150,7 +150,7 @@
 
 	async function readFrom(from: number, longPollMs: number, signal: AbortSignal): Promise<boolean> {
 		const sentAt = clock.now();
-		const page = await log.read(from, {wait: longPollMs, signal});
+		const page = await log.read(from, {waitMs: longPollMs, signal});
 		if (page.ok) {
 			markAvailable();
 			// An overlapping read may already have delivered the same records.
--- a/src/coordination/placement-gossip.test.ts
+++ b/src/coordination/placement-gossip.test.ts
@@ -1,6 +1,6 @@
 import {expect, test} from 'vitest';
 import {createVirtualTime} from '../../tools/measure/virtual-clock.js';
-import type {EventLog, GatewayService, Generation} from '../protocol/mod.js';
+import type {EventLog, GatewayService, GenerationParameters} from '../protocol/mod.js';
 import {createPeerViews, createUpstreamDirectory} from '../state/mod.js';
 import {
 	createPeerCatchUp, createPeerNews, createUpstreamRegistry, type UpstreamRegistry,
@@ -8,8 +8,8 @@
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
 const service: GatewayService = {id: 'model', connectionLimit: 100, engine: {slots: 64, memory: 100_000, tokensPerEvent: 4}};
-const generation: Generation = {
-	model: 'm', promptTokens: 12_000, outputTokens: 100, parts: [{id: 'shared', tokens: 9000}, {id: 'own', tokens: 3000}],
+const generation: GenerationParameters = {
+	model: 'm', promptTokens: 12_000, maxOutputTokens: 100, parts: [{id: 'shared', tokens: 9000}, {id: 'own', tokens: 3000}],
 };
 const request = {service, generation};
 
--- a/src/coordination/placement-policy.test.ts
+++ b/src/coordination/placement-policy.test.ts
@@ -14,7 +14,7 @@
 function buildQuery(sharedPart: string, ownPart: string): PlacementQuery {
 	return {
 		id: ownPart, generation: {
-			model: 'm', promptTokens: 12_000, outputTokens: 400, parts: [{id: sharedPart, tokens: 9000}, {id: ownPart, tokens: 3000}],
+			model: 'm', promptTokens: 12_000, maxOutputTokens: 400, parts: [{id: sharedPart, tokens: 9000}, {id: ownPart, tokens: 3000}],
 		},
 	};
 }
--- a/src/coordination/placement-policy.ts
+++ b/src/coordination/placement-policy.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type {Generation, PromptPart} from '../protocol/mod.js';
+import type {GenerationParameters, PromptPart} from '../protocol/mod.js';
 import {rankByRendezvous} from './rendezvous.js';
 
 /** An upstream to which the request may be sent. */
@@ -30,7 +30,7 @@
 export type PlacementQuery = {
 	/** Request id; the rendezvous key of requests without a prompt. */
 	readonly id: string;
-	readonly generation: Generation | undefined;
+	readonly generation: GenerationParameters | undefined;
 };
 
 /** Chooses an upstream for a request. */
--- a/src/coordination/relayed-log.test.ts
+++ b/src/coordination/relayed-log.test.ts
@@ -68,7 +68,7 @@
 	// store, although the daemons beside the engines still reach the store.
 	const fixture = createFixture();
 	fixture.setDirectPathCut(true);
-	const outcome = await fixture.log.append({key: 'a', value: '1'}, {at: 0});
+	const outcome = await fixture.log.append({key: 'a', value: '1'}, {expectedEnd: 0});
 	expect(outcome.kind).toBe('appended');
 	expect(fixture.store.records.length).toBe(1);
 });
@@ -76,7 +76,7 @@
 test('an append sent on both paths takes effect once', async () => {
 	const fixture = createFixture();
 	fixture.store.fates.push('lost-after');
-	const outcome = await fixture.log.append({key: 'a', value: '1'}, {at: 0});
+	const outcome = await fixture.log.append({key: 'a', value: '1'}, {expectedEnd: 0});
 	expect(outcome.kind).toBe('behind');
 	expect(fixture.store.records.length).toBe(1);
 });
--- a/src/coordination/relayed-log.ts
+++ b/src/coordination/relayed-log.ts
@@ -262,10 +262,10 @@
 		read: async (from, readOptions) => callStore({
 			run: async log => log.read(from, readOptions),
 			hasReachedStore: result => result.ok || result.val.kind === 'gone' || readOptions.signal.aborted,
-			longPollMs: readOptions.wait,
+			longPollMs: readOptions.waitMs,
 		}),
 		// Only a conditional append may be sent on two paths; an unconditional one could take effect twice.
-		append: async (record, appendOptions) => appendOptions.at === undefined
+		append: async (record, appendOptions) => appendOptions.expectedEnd === undefined
 			? direct.append(record, appendOptions)
 			: callStore<AppendOutcome>({run: async log => log.append(record, appendOptions), hasReachedStore: outcome => outcome.kind === 'appended' || outcome.kind === 'behind'}),
 	};
--- a/src/coordination/request-forwarder.test.ts
+++ b/src/coordination/request-forwarder.test.ts
@@ -1,7 +1,7 @@
 import {Buffer} from 'node:buffer';
 import {expect, test} from 'vitest';
 import {
-	Err, Ok, createFailure, type EventLog, type Failure, type GatewayWire, type Route, type UpstreamEntry,
+	Err, Ok, createFailure, type EventLog, type Failure, type GatewayWire, type Route, type UpstreamRegistration,
 } from '../protocol/mod.js';
 import {createCrashRegistry, createUpstreamDirectory} from '../state/mod.js';
 import {createSystemClock, type CallFailure, type UpstreamCall} from '../transport/mod.js';
@@ -19,11 +19,11 @@
 const wire: GatewayWire = {
 	readinessPath: '/ready',
 	readRequest: () => Ok({}),
-	buildForwardHeaders: (_raw, facts) => [facts.lastEvent ?? '', facts.upstream],
-	readId: () => undefined,
+	buildForwardHeaders: (_raw, facts) => [facts.lastEventId ?? '', facts.upstream],
+	readRequestId: () => undefined,
 	readAnswer: (status, headers) => ({
-		isOtherUpstream: status === 421,
-		requestId: headers.id as string | undefined, hasNotRun: headers['not-run'] !== undefined, isMarked: headers.mark !== undefined,
+		isWrongUpstream: status === 421,
+		requestId: headers.id as string | undefined, hasNotRun: headers['not-run'] !== undefined, hasUpstreamSignature: headers.mark !== undefined,
 	}),
 	buildAnswerHeaders: raw => [...raw],
 	formatRetryAfter: () => ['retry-after', '1'],
@@ -36,7 +36,7 @@
 	const clock = createSystemClock();
 	const directory = createUpstreamDirectory();
 	for (const id of ['u1', 'u2', 'u3']) {
-		const registration: UpstreamEntry = {
+		const registration: UpstreamRegistration = {
 			id, service: 's', address: id, failureDomain: 'd', slots: 4, isDraining: false, warmUp: 0,
 		};
 		directory.put(registration, 0);
--- a/src/coordination/request-forwarder.ts
+++ b/src/coordination/request-forwarder.ts
@@ -7,7 +7,7 @@
  * @module
  */
 import {
-	createFailure, type AnswerFacts, type EventLog, type Failure, type GatewayWire,
+	createFailure, type AnswerMetadata, type EventLog, type Failure, type GatewayWire,
 } from '../protocol/mod.js';
 import {
 	type CallFailure, type Clock, type UpstreamAnswer, type UpstreamClient, createBound,
@@ -105,7 +105,7 @@
 	}
 
 	// An answer to another request shows that the connection carries extra answers, so no later answer on it can be trusted.
-	function isForOtherRequest(request: ForwardRequest, facts: AnswerFacts): boolean {
+	function isForOtherRequest(request: ForwardRequest, facts: AnswerMetadata): boolean {
 		return facts.requestId !== undefined && facts.requestId !== request.id;
 	}
 
@@ -122,7 +122,7 @@
 			return {kind: 'broken', detail: 'The answer belongs to another request', wasConnectionLost: false};
 		}
 
-		if (facts.isOtherUpstream) {
+		if (facts.isWrongUpstream) {
 			answer.abandon();
 			tracker.recordMoved();
 			return {kind: 'not-run', detail: 'Another upstream now listens at this address', reached: 'other'};
@@ -134,7 +134,7 @@
 		}
 
 		progress.mayHaveRun = true;
-		if (answer.status < 300 && (!facts.isMarked || answer.headers['content-encoding'] !== undefined)) {
+		if (answer.status < 300 && (!facts.hasUpstreamSignature || answer.headers['content-encoding'] !== undefined)) {
 			answer.abandon();
 			return {kind: 'broken', detail: 'The answer lacks the upstream signature or has a content encoding', wasConnectionLost: false};
 		}
@@ -199,7 +199,7 @@
 				method: request.method,
 				path: request.path,
 				headers: wire.buildForwardHeaders(request.rawHeaders, {
-					requestId: request.id, upstream: id, customer: request.customer, remaining, lastEvent: relay.lastEventId, urgency: computeUrgency(request),
+					requestId: request.id, upstream: id, customer: request.customer, remainingMs: remaining, lastEventId: relay.lastEventId, urgency: computeUrgency(request),
 				}),
 				body: request.body,
 				signal: timeLimit.signal,
--- a/src/coordination/request-router.ts
+++ b/src/coordination/request-router.ts
@@ -60,7 +60,7 @@
  */
 export function createRequestRouter(options: CreateRequestRouterOptions) {
 	const {
-		follower, attempts, routes: routes, policy, retries, clock, events,
+		follower, attempts, routes, policy, retries, clock, events,
 	} = options;
 
 	function findMember(daemon: string): Readonly<Member> | undefined {
--- a/src/coordination/service-runner.ts
+++ b/src/coordination/service-runner.ts
@@ -190,7 +190,7 @@
 	}
 
 	return {
-		obtainPermit: obtainPermit,
+		obtainPermit,
 		/** Reads a request's permit from the log without obtaining one; undefined if the log has no run record of it. */
 		findPermit,
 		/** Records that a request with a permit was refused before it ran, so that a retry may run. */
--- a/src/coordination/upstream-registry.ts
+++ b/src/coordination/upstream-registry.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import type {
-	GatewayService, Generation, ToldLoad, UpstreamEntry,
+	GatewayService, GenerationParameters, ReportedLoad, UpstreamRegistration,
 } from '../protocol/mod.js';
 import {
 	createPromptCache, type LiveUpstream, type PlacedPrompt, type UpstreamDirectory, type UpstreamUse,
@@ -32,7 +32,7 @@
 /** Options of {@linkcode UpstreamRegistry.listCandidates}. */
 export type ListCandidatesOptions = {
 	readonly service: GatewayService;
-	readonly generation: Generation | undefined;
+	readonly generation: GenerationParameters | undefined;
 	/** Ids of upstreams that were already tried. */
 	readonly excluded: ReadonlySet<string>;
 };
@@ -41,7 +41,7 @@
 export type UpstreamRequestTracker = {
 	/** Records that the first event or the whole answer has arrived. */
 	readonly recordFirstEvent: () => void;
-	readonly recordLoad: (load: ToldLoad) => void;
+	readonly recordLoad: (load: ReportedLoad) => void;
 	/** Records that the upstream did not respond, so that others are preferred for a while. */
 	readonly recordUnresponsive: () => void;
 	/** Records that another upstream answers at this upstream's address. */
@@ -58,7 +58,7 @@
 	inFlight: number;
 	/** Prompt tokens of this gateway's requests that have not had their first event. */
 	waitingTokens: number;
-	reportedLoad: ToldLoad | undefined;
+	reportedLoad: ReportedLoad | undefined;
 	reportedAt: number;
 	/** Moving average of the milliseconds per token of work until the first event. */
 	msPerToken: number;
@@ -123,7 +123,7 @@
 		return Math.min(slownessRange.max, Math.max(slownessRange.min, relative)) * (isWarm ? 1 : warmUpSlowness);
 	}
 
-	function buildCandidate({upstream, isWarm, isOnGrace}: LiveUpstream, generation: Generation | undefined, median: number): PlacementCandidate {
+	function buildCandidate({upstream, isWarm, isOnGrace}: LiveUpstream, generation: GenerationParameters | undefined, median: number): PlacementCandidate {
 		const stats = ensureStats(upstream.id);
 		const peerUse = options.sumPeerUse(upstream.id);
 		const reportedRequests = stats.reportedLoad && clock.now() - stats.reportedAt < reportedLoadTtlMs ? stats.reportedLoad.running + stats.reportedLoad.waiting : 0;
@@ -151,7 +151,7 @@
 			return selected.map(item => buildCandidate(item, generation, median));
 		},
 
-		get: (id: string): UpstreamEntry | undefined => directory.get(id),
+		get: (id: string): UpstreamRegistration | undefined => directory.get(id),
 		/** Returns true if requests may be sent to an upstream. */
 		isLive: (id: string): boolean => directory.isLive(id, clock.now()),
 		/** Returns true if an upstream is live and listed, not merely in its grace period, so that its process is not expected to end. */
--- a/src/coordination/urgency.ts
+++ b/src/coordination/urgency.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type {Generation} from '../protocol/mod.js';
+import type {GenerationParameters} from '../protocol/mod.js';
 
 /** Engines process urgency 0 first and this one last. */
 const lowestUrgency = 9;
@@ -15,7 +15,7 @@
 export type ComputeUrgencyOptions = {
 	/** 0 is the most urgent. */
 	readonly priority: number;
-	readonly generation: Generation | undefined;
+	readonly generation: GenerationParameters | undefined;
 };
 
 /**
--- a/src/coordination/work-queue.ts
+++ b/src/coordination/work-queue.ts
@@ -53,7 +53,7 @@
  * @returns The queue
  */
 export function createWorkQueue(options: CreateWorkQueueOptions) {
-	const {maxRunning: maxRunning, maxWaiting: maxWaiting, clock} = options;
+	const {maxRunning, maxWaiting, clock} = options;
 	const waiting: Waiting[] = [];
 	let running = 0;
 	let averageServiceMs = initialServiceMs;
--- a/src/daemon/caller-identity.ts
+++ b/src/daemon/caller-identity.ts
@@ -6,7 +6,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {LogFollower, Self} from '../coordination/mod.js';
 import {
-	Err, Ok, computeDigest, computeRequestId, createFailure, createId, readSpan, type CallerKey, type EntrySettings, type Failure, type Result,
+	Err, Ok, computeDigest, computeRequestId, createFailure, createId, parseDuration, type CallerKey, type EntrySettings, type Failure, type Result,
 } from '../protocol/mod.js';
 import type {Clock} from '../transport/mod.js';
 
@@ -68,7 +68,7 @@
 			return Ok(clock.now() + settings.deadline);
 		}
 
-		const span = readSpan(header);
+		const span = parseDuration(header);
 		return span === undefined || span <= 0
 			? Err(createFailure('invalid-request', `Header "x-deadline" has "${header}": write a span of time such as 2500ms or 30s`))
 			: Ok(clock.now() + Math.min(span, settings.longestDeadline));
--- a/src/daemon/caller-interface.ts
+++ b/src/daemon/caller-interface.ts
@@ -10,7 +10,7 @@
 	LogFollower, Metrics, RequestRouter, RoutedCall, Self,
 } from '../coordination/mod.js';
 import {
-	Err, Ok, Work, boundPromptTokens, computeDigest, createFailure, formatProblem,
+	Err, Ok, Work, computeMaxPromptTokens, computeDigest, createFailure, formatProblem,
 	type ChatRequest, type EntrySettings, type EventLog, type Failure, type Result,
 } from '../protocol/mod.js';
 import type {AnswerEnd} from '../state/mod.js';
@@ -108,7 +108,7 @@
 			target: chat.model,
 			mayRepeat: true,
 			budget: caller.key.budget,
-			worstCase: boundPromptTokens(chat) + maxTokens,
+			worstCase: computeMaxPromptTokens(chat) + maxTokens,
 			priority: caller.priority,
 			payload,
 			prefix: computeDigest(JSON.stringify(chat.messages).slice(0, prefixLength)),
--- a/src/daemon/gateway-interface.test.ts
+++ b/src/daemon/gateway-interface.test.ts
@@ -19,12 +19,12 @@
 	readinessPath: '/ready',
 	readRequest: () => Ok({
 		id: 'r1', key: 'k', generation: {
-			model: 'm', promptTokens: 100, outputTokens: 10, parts: [],
+			model: 'm', promptTokens: 100, maxOutputTokens: 10, parts: [],
 		},
 	}),
-	readId: () => 'r1',
+	readRequestId: () => 'r1',
 	buildForwardHeaders: () => [],
-	readAnswer: () => ({isOtherUpstream: false, hasNotRun: false, isMarked: true}),
+	readAnswer: () => ({isWrongUpstream: false, hasNotRun: false, hasUpstreamSignature: true}),
 	buildAnswerHeaders: raw => [...raw],
 	formatRetryAfter: milliseconds => ['retry-after', String(milliseconds / 1000)],
 };
@@ -59,7 +59,7 @@
 			settled.push(used);
 		},
 	} as unknown as BudgetManager;
-	const admission = {enter: () => Ok(() => undefined)} as unknown as Admission;
+	const admission = {admit: () => Ok(() => undefined)} as unknown as Admission;
 	const callers = createGatewayInterface({
 		wire, findTable: () => createRouteTable(deployment), keeper, admission, quarantine: {admit: () => Ok(undefined)}, forwarder: undefined as unknown as RequestForwarder,
 		metrics: createMetrics(), clock, events, stopWindow: createStopWindow({notice: 1, clock}), findLeavingRetryAfter: () => 100,
--- a/src/daemon/gateway-interface.ts
+++ b/src/daemon/gateway-interface.ts
@@ -10,7 +10,7 @@
 	Admission, BudgetManager, CallerAnswer, ForwardReport, ForwardRequest, Metrics, Quarantine, RequestForwarder,
 } from '../coordination/mod.js';
 import {
-	Err, Ok, createFailure, type GatewayCustomer, type EventLog, type Failure, type GatewayWire, type RequestFacts, type Result, type Route, type GatewayService,
+	Err, Ok, createFailure, type GatewayCustomer, type EventLog, type Failure, type GatewayWire, type RequestMetadata, type Result, type Route, type GatewayService,
 } from '../protocol/mod.js';
 import type {RouteTable, TokenReservation} from '../state/mod.js';
 import {
@@ -46,7 +46,7 @@
 
 /** A request whose route and customer are known. */
 type Admitted = {
-	readonly facts: RequestFacts;
+	readonly facts: RequestMetadata;
 	readonly route: Route;
 	readonly service: GatewayService;
 	readonly customer: GatewayCustomer | undefined;
@@ -104,7 +104,7 @@
 	}
 
 	const perEvent = service.engine?.tokensPerEvent ?? 1;
-	return generation.promptTokens + Math.min(generation.outputTokens, report.events * perEvent);
+	return generation.promptTokens + Math.min(generation.maxOutputTokens, report.events * perEvent);
 }
 
 /**
@@ -168,7 +168,7 @@
 	async function reserve({facts, customer}: Admitted, span: number): Promise<Result<TokenReservation | undefined, Failure>> {
 		const {generation} = facts;
 		return generation && customer?.bought !== undefined
-			? keeper.acquire(customer.id, generation.promptTokens + generation.outputTokens, {timeoutMs: span * claimShare, request: facts.id})
+			? keeper.acquire(customer.id, generation.promptTokens + generation.maxOutputTokens, {timeoutMs: span * claimShare, request: facts.id})
 			: Ok(undefined);
 	}
 
@@ -253,7 +253,7 @@
 	}
 
 	function findSpan({route, facts}: Admitted): number {
-		return Math.min(route.timeout, facts.patience ?? route.timeout);
+		return Math.min(route.timeout, facts.timeoutMs ?? route.timeout);
 	}
 
 	async function serveInTurn(request: IncomingMessage, admitted: Admitted, serving: Serving): Promise<void> {
@@ -341,7 +341,7 @@
 				rawHeaders: request.rawHeaders,
 				body: body.val.length > 0 ? body.val : undefined,
 				generation: facts.generation,
-				lastEventId: facts.lastEvent,
+				lastEventId: facts.lastEventId,
 				startedAt,
 				deadline,
 				signal: leaving.signal,
@@ -362,7 +362,7 @@
 		countRunning: () => running.size,
 
 		/** The running requests, for the log. */
-		describeRunning: () => ({running: running.size, requests: [...running].slice(0, namedRequests).map(({headers}) => wire.readId(headers)).join(' ')}),
+		describeRunning: () => ({running: running.size, requests: [...running].slice(0, namedRequests).map(({headers}) => wire.readRequestId(headers)).join(' ')}),
 
 		/** Notes that connections are now cut, so that callers are not said to have left. */
 		noteEnding(): void {
@@ -392,13 +392,13 @@
 			try {
 				const admitted = admit(request);
 				if (admitted.err) {
-					refuse(serving, wire.readId(request.headers), admitted.val);
+					refuse(serving, wire.readRequestId(request.headers), admitted.val);
 				} else {
 					await serveInTurn(request, admitted.val, serving);
 				}
 			} catch (error) {
 				// The caller broke off while its body was read, or the gateway is at fault; either way only this request ends.
-				events.write('requestFailed', {request: wire.readId(request.headers), detail: (error as Error).stack ?? String(error)});
+				events.write('requestFailed', {request: wire.readRequestId(request.headers), detail: (error as Error).stack ?? String(error)});
 				answer.abort();
 			} finally {
 				await waitUntilSent(request, response);
--- a/src/daemon/gateway-state.test.ts
+++ b/src/daemon/gateway-state.test.ts
@@ -4,7 +4,7 @@
 import {createVirtualTime} from '../../tools/measure/virtual-clock.js';
 import {createUpstreamRegistry} from '../coordination/mod.js';
 import {
-	Err, Ok, createFailure, type EventLog, type GatewayService, type KeyedLog, type UpstreamEntry,
+	Err, Ok, createFailure, type EventLog, type GatewayService, type KeyedLog, type UpstreamRegistration,
 } from '../protocol/mod.js';
 import {createGatewayState} from './gateway-state.js';
 
@@ -46,7 +46,7 @@
 		return {
 			...log,
 			readNewest: async () => await reachLog() ? log.readNewest() : Err(away),
-			read: async (from, options) => await reachLog(options.wait) ? log.read(from, options) : Err({kind: 'away', failure: away}),
+			read: async (from, options) => await reachLog(options.waitMs) ? log.read(from, options) : Err({kind: 'away', failure: away}),
 		};
 	}
 
@@ -56,7 +56,7 @@
 			logs: {deployment: open(logs.deployment, reach), upstreams: open(logs.upstreams, reachUpstreams), grants: open(logs.grants, reach)},
 			deploymentKey: 'deployment',
 			decodeDeployment: () => undefined as never,
-			decodeUpstream: (_id, text) => JSON.parse(text) as UpstreamEntry,
+			decodeUpstream: (_id, text) => JSON.parse(text) as UpstreamRegistration,
 			close: async () => undefined,
 		},
 		self: {
@@ -77,7 +77,7 @@
 	}
 
 	function add(id: string): void {
-		const entry: UpstreamEntry = {
+		const entry: UpstreamRegistration = {
 			id, service: 's', address: id, failureDomain: 'd', slots: 4, isDraining: false, warmUp: 0,
 		};
 		put(id, JSON.stringify(entry));
--- a/src/daemon/gateway-state.ts
+++ b/src/daemon/gateway-state.ts
@@ -8,7 +8,7 @@
 	createKeyedFollower, createExpiryGrace, formatHolderKey, isQuarantineKey, type HolderIdentity, type KeyedFollower,
 } from '../coordination/mod.js';
 import type {
-	Deployment, EventLog, GatewayWire, KeyedLog, StoredRecord, UpstreamEntry,
+	Deployment, EventLog, GatewayWire, KeyedLog, StoredRecord, UpstreamRegistration,
 } from '../protocol/mod.js';
 import {
 	createGrantRegistry, createRouteTable, createTokenAccount, createUpstreamDirectory, holderRecordSchema, type HolderRecord, type RouteTable,
@@ -22,7 +22,7 @@
 	/** Key of the record that holds the deployment. */
 	readonly deploymentKey: string;
 	readonly decodeDeployment: (text: string) => Deployment;
-	readonly decodeUpstream: (id: string, text: string) => UpstreamEntry;
+	readonly decodeUpstream: (id: string, text: string) => UpstreamRegistration;
 	readonly close: () => Promise<void>;
 };
 
--- a/src/daemon/relay-interface.ts
+++ b/src/daemon/relay-interface.ts
@@ -60,7 +60,7 @@
 			return newest?.ok ? buildRecords(RelayState.OK, newest.val) : buildRecords(RelayState.AWAY);
 		},
 		async read({log, from, waitMs}) {
-			const page = await byName.get(log)?.read(from, {wait: waitMs, signal});
+			const page = await byName.get(log)?.read(from, {waitMs, signal});
 			if (page?.ok) {
 				return buildRecords(RelayState.OK, page.val);
 			}
@@ -68,7 +68,7 @@
 			return buildRecords(page?.val.kind === 'gone' ? RelayState.GONE : RelayState.AWAY);
 		},
 		async append({log, key, value, at}) {
-			const outcome = await byName.get(log)?.append({key, value}, {at});
+			const outcome = await byName.get(log)?.append({key, value}, {expectedEnd: at});
 			return buildAppendReply(outcome ?? {kind: 'refused', failure: createFailure('unknown-object', `This daemon carries no log "${log}"`)});
 		},
 	};
@@ -137,8 +137,8 @@
 			const answer = await call(async relay => relay.readNewest({log: name}, {timeoutMs: relayTimeout}));
 			return answer.ok ? readPage(answer.val) : answer;
 		},
-		async read(from, {wait, signal}) {
-			const answer = await call(async relay => relay.read({log: name, from, waitMs: wait}, {timeoutMs: relayTimeout + wait, signal}));
+		async read(from, {waitMs, signal}) {
+			const answer = await call(async relay => relay.read({log: name, from, waitMs}, {timeoutMs: relayTimeout + waitMs, signal}));
 			if (answer.err) {
 				return Err({kind: 'away', failure: answer.val});
 			}
@@ -150,8 +150,8 @@
 			const page = readPage(answer.val);
 			return page.ok ? page : Err({kind: 'away', failure: page.val});
 		},
-		async append(record, {at}) {
-			const answer = await call(async relay => relay.append({log: name, ...record, at}, {timeoutMs: relayTimeout}));
+		async append(record, {expectedEnd}) {
+			const answer = await call(async relay => relay.append({log: name, ...record, at: expectedEnd}, {timeoutMs: relayTimeout}));
 			return answer.ok ? readAppendReply(answer.val) : {kind: 'unknown', failure: answer.val};
 		},
 	};
--- a/src/daemon/run-direct-daemon.ts
+++ b/src/daemon/run-direct-daemon.ts
@@ -6,7 +6,7 @@
  */
 import process from 'node:process';
 import {
-	createLineLog, failureTable, type DirectSettings, type EventLog,
+	createLineLog, failureTable, type GatewayOrRelaySettings, type EventLog,
 } from '../protocol/mod.js';
 import type {RunningDaemon} from './core.js';
 import {startGatewayDaemon} from './gateway-daemon.js';
@@ -17,15 +17,15 @@
 /** Options of {@linkcode runDirectDaemon}. */
 export type RunDirectDaemonOptions = {
 	/** Reads and checks the settings; throws when they are wrong. */
-	readonly readSettings: () => DirectSettings;
-	readonly createAdapter: (settings: DirectSettings) => GatewayAdapter;
+	readonly readSettings: () => GatewayOrRelaySettings;
+	readonly createAdapter: (settings: GatewayOrRelaySettings) => GatewayAdapter;
 };
 
 /** A daemon that takes changed settings. */
-type Reloadable = {readonly daemon: RunningDaemon; readonly reload: (settings: DirectSettings) => void};
+type Reloadable = {readonly daemon: RunningDaemon; readonly reload: (settings: GatewayOrRelaySettings) => void};
 
 /** @internal */
-async function start(settings: DirectSettings, adapter: GatewayAdapter, events: EventLog): Promise<Reloadable> {
+async function start(settings: GatewayOrRelaySettings, adapter: GatewayAdapter, events: EventLog): Promise<Reloadable> {
 	if (settings.role === 'relay') {
 		const daemon = await startRelayDaemon(settings, {...adapter, events});
 		return {
@@ -48,7 +48,7 @@
 }
 
 /** @internal */
-function readOrRefuse(readSettings: () => DirectSettings): DirectSettings | undefined {
+function readOrRefuse(readSettings: () => GatewayOrRelaySettings): GatewayOrRelaySettings | undefined {
 	try {
 		return readSettings();
 	} catch (error) {
@@ -68,7 +68,7 @@
  *
  * @param readSettings Reads and checks the settings; throws when they are wrong
  */
-export function checkDirectSettings(readSettings: () => DirectSettings): void {
+export function checkDirectSettings(readSettings: () => GatewayOrRelaySettings): void {
 	const settings = readOrRefuse(readSettings);
 	if (settings) {
 		process.stdout.write(`The settings of ${settings.role} "${settings.id}" are valid\n`);
--- a/src/protocol/changes.ts
+++ b/src/protocol/changes.ts
@@ -79,7 +79,7 @@
 
 export type Customer = z.infer<typeof customerSchema>;
 export type CallerKey = z.infer<typeof keySchema>;
-export type BudgetRule = z.infer<typeof budgetSchema>;
+export type BudgetDefinition = z.infer<typeof budgetSchema>;
 export type Model = z.infer<typeof modelSchema>;
 export type Service = z.infer<typeof serviceSchema>;
 export type RequestClass = z.infer<typeof classSchema>;
--- a/src/protocol/chat.ts
+++ b/src/protocol/chat.ts
@@ -64,13 +64,13 @@
  *
  * @example
  * ```ts
- * boundPromptTokens({model: 'm', messages: [{role: 'user', content: 'Hi'}]}); // 36
+ * computeMaxPromptTokens({model: 'm', messages: [{role: 'user', content: 'Hi'}]}); // 36
  * ```
  *
  * @param request The request
  * @returns The upper bound, in tokens
  */
-export function boundPromptTokens(request: ChatRequest): number {
+export function computeMaxPromptTokens(request: ChatRequest): number {
 	let bound = requestOverheadTokens;
 	for (const message of request.messages) {
 		const text = typeof message.content === 'string' ? message.content : JSON.stringify(message.content ?? '');
--- a/src/protocol/deployment.ts
+++ b/src/protocol/deployment.ts
@@ -91,7 +91,7 @@
 });
 
 /** Schema of the registration that an upstream writes for itself. */
-export const upstreamEntrySchema = z.object({
+export const upstreamRegistrationSchema = z.object({
 	/** Unique to one start of the upstream. */
 	id: z.string(),
 	service: z.string(),
@@ -112,4 +112,4 @@
 export type GatewayCustomer = z.infer<typeof gatewayCustomerSchema>;
 export type CallerLimits = z.infer<typeof callerLimitsSchema>;
 export type Deployment = z.infer<typeof deploymentSchema>;
-export type UpstreamEntry = z.infer<typeof upstreamEntrySchema>;
+export type UpstreamRegistration = z.infer<typeof upstreamRegistrationSchema>;
--- a/src/protocol/failures.ts
+++ b/src/protocol/failures.ts
@@ -7,10 +7,10 @@
 import * as z from 'zod';
 
 /** Schema of whether a request ran. `no` also guarantees that it will not run later. */
-export const ranSchema = z.enum(['no', 'yes', 'unknown']);
+export const runStatusSchema = z.enum(['no', 'yes', 'unknown']);
 
 /** Whether a request ran. */
-export type RunStatus = z.infer<typeof ranSchema>;
+export type RunStatus = z.infer<typeof runStatusSchema>;
 
 type FailureRow = {
 	/** HTTP status of the answer. */
@@ -191,7 +191,7 @@
 	title: z.string(),
 	status: z.number(),
 	detail: z.string(),
-	ran: ranSchema,
+	ran: runStatusSchema,
 	retryAfterSeconds: z.number().optional(),
 });
 
--- a/src/protocol/gateway-settings.ts
+++ b/src/protocol/gateway-settings.ts
@@ -56,7 +56,7 @@
 });
 
 /** Settings of a gateway or relay daemon. */
-export type DirectSettings = GatewaySettings | RelaySettings;
+export type GatewayOrRelaySettings = GatewaySettings | RelaySettings;
 /** Settings of a relay daemon. */
 export type RelaySettings = z.infer<typeof relaySettingsSchema>;
 /** Settings of a gateway daemon. */
--- a/src/protocol/gateway-wire.ts
+++ b/src/protocol/gateway-wire.ts
@@ -12,55 +12,55 @@
 export type PromptPart = {readonly id: string; readonly tokens: number};
 
 /** Generation parameters of a request to a model engine, as stated by the caller. */
-export type Generation = {
+export type GenerationParameters = {
 	readonly model: string;
 	readonly promptTokens: number;
 	/** Maximum number of tokens to generate. */
-	readonly outputTokens: number;
+	readonly maxOutputTokens: number;
 	/** The parts of the prompt in order. The last part is specific to the request or its session. */
 	readonly parts: readonly PromptPart[];
 };
 
 /** Metadata of a request from a caller. */
-export type RequestFacts = {
+export type RequestMetadata = {
 	/** Identifies the caller's attempt; undefined if the caller sent no id. */
 	readonly id?: string;
 	/** Time that the caller waits for the answer, in milliseconds; undefined if not stated. */
-	readonly patience?: number;
+	readonly timeoutMs?: number;
 	readonly key?: string;
-	readonly generation?: Generation;
+	readonly generation?: GenerationParameters;
 	/** Id of the last event that the caller has received, after which the stream is to resume. */
-	readonly lastEvent?: string;
+	readonly lastEventId?: string;
 };
 
 /** Metadata of a request that the gateway forwards to an upstream. */
-export type ForwardFacts = {
+export type ForwardMetadata = {
 	readonly requestId?: string;
 	/** Id of the only upstream that may run the request. */
 	readonly upstream: string;
 	readonly customer?: string;
 	/** Time left until the deadline, in milliseconds. */
-	readonly remaining: number;
+	readonly remainingMs: number;
 	/** Scheduling order at the upstream, from 0 (first) to 9 (last); undefined for the default of the upstream. */
 	readonly urgency?: number;
 	/** Id of the event after which the stream resumes. */
-	readonly lastEvent?: string;
+	readonly lastEventId?: string;
 };
 
 /** Load of an upstream as reported in an answer. */
-export type ToldLoad = {readonly running: number; readonly waiting: number; readonly slots: number};
+export type ReportedLoad = {readonly running: number; readonly waiting: number; readonly slots: number};
 
 /** Metadata of an answer from an upstream. */
-export type AnswerFacts = {
+export type AnswerMetadata = {
 	/** Id of the request that this answers; undefined if not stated. */
 	readonly requestId?: string;
 	/** True if the upstream guarantees that the request has not run. */
 	readonly hasNotRun: boolean;
 	/** True if the upstream at this address is not the one that the request named. */
-	readonly isOtherUpstream: boolean;
+	readonly isWrongUpstream: boolean;
 	/** True if the answer has the upstream signature. Without it, the body does not come from the upstream. */
-	readonly isMarked: boolean;
-	readonly load?: ToldLoad;
+	readonly hasUpstreamSignature: boolean;
+	readonly load?: ReportedLoad;
 };
 
 /** Header names and values, alternating. */
@@ -69,12 +69,12 @@
 /** Converts between headers and request or answer metadata. */
 export type GatewayWire = {
 	/** Reads the metadata of a caller's request; fails if a field is malformed. */
-	readonly readRequest: (headers: IncomingHttpHeaders) => Result<RequestFacts, Failure>;
+	readonly readRequest: (headers: IncomingHttpHeaders) => Result<RequestMetadata, Failure>;
 	/** Reads only the request id, for log events. Also works for requests with other malformed fields. */
-	readonly readId: (headers: IncomingHttpHeaders) => string | undefined;
+	readonly readRequestId: (headers: IncomingHttpHeaders) => string | undefined;
 	/** Builds the headers for the upstream from the caller's headers. */
-	readonly buildForwardHeaders: (raw: RawHeaders, facts: ForwardFacts) => string[];
-	readonly readAnswer: (status: number, headers: IncomingHttpHeaders) => AnswerFacts;
+	readonly buildForwardHeaders: (raw: RawHeaders, facts: ForwardMetadata) => string[];
+	readonly readAnswer: (status: number, headers: IncomingHttpHeaders) => AnswerMetadata;
 	/** Builds the headers for the caller from the upstream's headers. */
 	readonly buildAnswerHeaders: (raw: RawHeaders) => string[];
 	/** Returns the name and value of the header that tells a caller when to retry. */
--- a/src/protocol/keyed-log.ts
+++ b/src/protocol/keyed-log.ts
@@ -39,14 +39,14 @@
 /** Options of {@linkcode KeyedLog.read}. */
 export type ReadKeyedOptions = {
 	/** Maximum time that the log waits for a new record before it answers, in milliseconds. */
-	readonly wait: number;
+	readonly waitMs: number;
 	readonly signal: AbortSignal;
 };
 
 /** Options of {@linkcode KeyedLog.append}. */
 export type AppendKeyedOptions = {
 	/** Offset at which the log must end for the append to succeed; defaults to no condition. */
-	readonly at?: number;
+	readonly expectedEnd?: number;
 };
 
 /** Client of a keyed log. */
--- a/src/protocol/records.ts
+++ b/src/protocol/records.ts
@@ -36,7 +36,7 @@
 });
 
 /** Schema of a log record. */
-export const recordSchema = z.discriminatedUnion('kind', [
+export const logRecordSchema = z.discriminatedUnion('kind', [
 	joinSchema,
 	/** Ends an incarnation. `graceful`: by itself, after it appended all receipts; otherwise by a peer that presumed it failed. */
 	z.strictObject({
@@ -66,7 +66,7 @@
 	z.strictObject({kind: z.literal('snapshot'), upTo: z.number(), state: z.unknown()}),
 ]);
 
-export type LogRecord = z.infer<typeof recordSchema>;
+export type LogRecord = z.infer<typeof logRecordSchema>;
 export type Join = z.infer<typeof joinSchema>;
 export type GrantShare = z.infer<typeof grantShareSchema>;
 export type Receipt = z.infer<typeof receiptSchema>;
@@ -86,7 +86,7 @@
 export type LogEntry = z.infer<typeof logEntrySchema>;
 
 /** Schema of the answer to a log read. */
-export const pageSchema = z.object({
+export const logPageSchema = z.object({
 	records: z.array(logEntrySchema),
 	/** The oldest offset that the log still retains. */
 	first: z.number(),
@@ -95,4 +95,4 @@
 });
 
 /** The answer to a log read. */
-export type LogPage = z.infer<typeof pageSchema>;
+export type LogPage = z.infer<typeof logPageSchema>;
--- a/src/protocol/units.ts
+++ b/src/protocol/units.ts
@@ -46,12 +46,12 @@
  *
  * @example
  * ```ts
- * readSpan('2.5s'); // 2500
+ * parseDuration('2.5s'); // 2500
  * ```
  *
  * @param text A number with a unit
  * @returns Milliseconds, or undefined if the text is not a duration
  */
-export function readSpan(text: string): number | undefined {
+export function parseDuration(text: string): number | undefined {
 	return parseQuantity(text, durationUnits);
 }
--- a/src/state/configuration.ts
+++ b/src/state/configuration.ts
@@ -9,7 +9,7 @@
  * @module
  */
 import type {
-	BudgetRule, CallerKey, Change, Customer, EngineOrder, Model, RecordOf, RequestClass, Service,
+	BudgetDefinition, CallerKey, Change, Customer, EngineOrder, Model, RecordOf, RequestClass, Service,
 } from '../protocol/mod.js';
 
 /** State of a plan. */
@@ -37,7 +37,7 @@
 	version: number;
 	customers: Customer[];
 	keys: CallerKey[];
-	budgets: BudgetRule[];
+	budgets: BudgetDefinition[];
 	models: Model[];
 	services: Service[];
 	classes: RequestClass[];
@@ -242,16 +242,16 @@
 		},
 
 		/** Returns a sentence for each change that cannot be applied; empty if all can. */
-		listViolations: listViolations,
+		listViolations,
 		findPlan: (id: string): Readonly<Plan> | undefined => plans.get(id),
 		listPlans: (): Iterable<Readonly<Plan>> => plans.values(),
 		findKey: (digest: string): CallerKey | undefined => keys.get(digest),
 		findCustomer: (id: string): Customer | undefined => customers.get(id),
-		findBudget: (id: string): BudgetRule | undefined => budgets.get(id),
+		findBudget: (id: string): BudgetDefinition | undefined => budgets.get(id),
 		findModel: (name: string): Model | undefined => models.get(name),
 		findService: (name: string): Service | undefined => services.get(name),
 		findClass: (name: string): RequestClass | undefined => classes.get(name),
-		listBudgets: (): Iterable<BudgetRule> => budgets.values(),
+		listBudgets: (): Iterable<BudgetDefinition> => budgets.values(),
 		listCustomers: (): Iterable<Customer> => customers.values(),
 		listModels: (): Iterable<Model> => models.values(),
 		listServices: (): Iterable<Service> => services.values(),
@@ -274,5 +274,5 @@
 
 type AddedObjects = {
 	readonly customers: Set<string>;
-	readonly budgets: Map<string, BudgetRule>;
+	readonly budgets: Map<string, BudgetDefinition>;
 };
--- a/src/state/fleet-state.ts
+++ b/src/state/fleet-state.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import {recordSchema, type LogEntry, type LogRecord} from '../protocol/mod.js';
+import {logRecordSchema, type LogEntry, type LogRecord} from '../protocol/mod.js';
 import {createConfiguration, type ConfigurationSnapshot} from './configuration.js';
 import {createLedger, formatIncarnationId, type LedgerSnapshot} from './ledger.js';
 import {createPlacement, type EndedIncarnation, type PlacementSnapshot} from './placement.js';
@@ -46,7 +46,7 @@
  * @returns The state
  */
 export function createFleetState(options: CreateFleetStateOptions) {
-	const {retentionMs: retentionMs, snapshot} = options;
+	const {retentionMs, snapshot} = options;
 	let nextOffset = snapshot?.next ?? 0;
 	const ledger = createLedger({retentionMs, snapshot: snapshot?.ledger});
 	const configuration = createConfiguration(snapshot?.configuration);
@@ -167,7 +167,7 @@
 			}
 
 			nextOffset = entry.offset + 1;
-			const parsed = recordSchema.safeParse(entry.data);
+			const parsed = logRecordSchema.safeParse(entry.data);
 			if (!parsed.success) {
 				return 'unreadable';
 			}
--- a/src/state/spend.test.ts
+++ b/src/state/spend.test.ts
@@ -19,7 +19,7 @@
 
 function createSimulation({hasBatchGuard = true, hasFence = true}: Options = {}) {
 	const log: LogEntry[] = [];
-	const referenceState = createFleetState({retentionMs: retentionMs});
+	const referenceState = createFleetState({retentionMs});
 	let lastId = 0;
 	let consumedTokens = 0;
 	let wasUpstreamEnded = false;
@@ -41,10 +41,10 @@
 	}
 
 	const entries = ['e0', 'e1'].map((id): Entry => ({
-		id, incarnation: generateId('i'), state: createFleetState({retentionMs: retentionMs}), holder: createGrantHolder(), knownGrants: new Set(),
+		id, incarnation: generateId('i'), state: createFleetState({retentionMs}), holder: createGrantHolder(), knownGrants: new Set(),
 	}));
 	const upstreams = ['u0', 'u1'].map((id): Upstream => ({
-		id, incarnation: generateId('i'), state: createFleetState({retentionMs: retentionMs}), queue: createReceiptQueue(), previousQueues: [], fenced: new Set(),
+		id, incarnation: generateId('i'), state: createFleetState({retentionMs}), queue: createReceiptQueue(), previousQueues: [], fenced: new Set(),
 	}));
 	for (const entry of entries) {
 		join(entry.id, entry.incarnation, 'entry');
@@ -343,13 +343,13 @@
 			step(simulation);
 		}
 
-		const snapshotState = createFleetState({retentionMs: retentionMs});
+		const snapshotState = createFleetState({retentionMs});
 		const snapshotOffset = snapshotSeed % (simulation.log.length + 1);
 		for (const entry of simulation.log.slice(0, snapshotOffset)) {
 			snapshotState.fold(entry);
 		}
 
-		const restoredState = createFleetState({retentionMs: retentionMs, snapshot: roundTripJson(snapshotState.buildSnapshot())});
+		const restoredState = createFleetState({retentionMs, snapshot: roundTripJson(snapshotState.buildSnapshot())});
 		for (const entry of simulation.log.slice(snapshotOffset)) {
 			restoredState.fold(entry);
 		}
--- a/src/state/token-account.ts
+++ b/src/state/token-account.ts
@@ -50,7 +50,7 @@
 	}
 
 	return {
-		countFreeTokens: countFreeTokens,
+		countFreeTokens,
 		listCustomers: (): string[] => [...balances.keys()],
 		get: (customer: string): Readonly<Balance> => ensureBalance(customer),
 
--- a/src/state/traces.test.ts
+++ b/src/state/traces.test.ts
@@ -1,13 +1,13 @@
 import {readFileSync, readdirSync} from 'node:fs';
 import {expect, test} from 'vitest';
 import * as z from 'zod';
-import {recordSchema} from '../protocol/mod.js';
+import {logRecordSchema} from '../protocol/mod.js';
 import {createFleetState} from './mod.js';
 
 const traceSchema = z.strictObject({
 	story: z.string(),
 	window: z.number(),
-	records: z.array(recordSchema),
+	records: z.array(logRecordSchema),
 	outcome: z.strictObject({
 		version: z.number(),
 		budgets: z.record(z.string(), z.strictObject({
--- a/src/state/upstream-directory.test.ts
+++ b/src/state/upstream-directory.test.ts
@@ -1,8 +1,8 @@
 import {expect, test} from 'vitest';
-import type {UpstreamEntry} from '../protocol/mod.js';
+import type {UpstreamRegistration} from '../protocol/mod.js';
 import {createUpstreamDirectory} from './mod.js';
 
-const entry: UpstreamEntry = {
+const entry: UpstreamRegistration = {
 	id: 'u1', service: 's', address: '127.0.0.1:1', failureDomain: 'd', slots: 4, isDraining: false, warmUp: 0,
 };
 
--- a/src/state/upstream-directory.ts
+++ b/src/state/upstream-directory.ts
@@ -3,13 +3,13 @@
  *
  * @module
  */
-import type {UpstreamEntry} from '../protocol/mod.js';
+import type {UpstreamRegistration} from '../protocol/mod.js';
 
-type Registration = {upstream: UpstreamEntry; graceEndsAt?: number; warmAt: number; isAddressReused?: boolean};
+type Registration = {upstream: UpstreamRegistration; graceEndsAt?: number; warmAt: number; isAddressReused?: boolean};
 
 /** An upstream that takes requests. */
 export type LiveUpstream = {
-	readonly upstream: UpstreamEntry;
+	readonly upstream: UpstreamRegistration;
 	readonly isWarm: boolean;
 	/** True if its registration was removed and it takes requests only until the grace period ends. */
 	readonly isOnGrace: boolean;
@@ -38,7 +38,7 @@
 	}
 
 	return {
-		put(upstream: UpstreamEntry, now: number): void {
+		put(upstream: UpstreamRegistration, now: number): void {
 			const previous = registrations.get(upstream.id);
 			// Draining is final: an older registration that is read late must not make the upstream live again.
 			const isDraining = upstream.isDraining || previous?.upstream.isDraining === true;
@@ -74,7 +74,7 @@
 			}
 		},
 
-		get: (id: string): UpstreamEntry | undefined => registrations.get(id)?.upstream,
+		get: (id: string): UpstreamRegistration | undefined => registrations.get(id)?.upstream,
 		/** Returns true if an upstream may get requests. */
 		isLive(id: string, now: number): boolean {
 			const registration = registrations.get(id);
--- a/src/transport/log-client.ts
+++ b/src/transport/log-client.ts
@@ -5,7 +5,7 @@
  */
 import {Agent, request} from 'undici';
 import {
-	Err, Ok, createFailure, pageSchema, type Failure, type LogPage, type LogRecord, type Result,
+	Err, Ok, createFailure, logPageSchema, type Failure, type LogPage, type LogRecord, type Result,
 } from '../protocol/mod.js';
 import {createBound} from './bound.js';
 
@@ -103,7 +103,7 @@
 				const answer = await request(`${address}?from=${from}&wait=${wait}&limit=${pageLimit}`, {dispatcher: used, signal: bound.signal});
 				const body = await answer.body.json();
 				if (answer.statusCode === goneStatus) {
-					const {first, next} = pageSchema.parse(body);
+					const {first, next} = logPageSchema.parse(body);
 					return Err({kind: 'gone', first, next});
 				}
 
@@ -111,7 +111,7 @@
 					return Err({kind: 'away', failure: explainAway(new Error(`status ${answer.statusCode}`))});
 				}
 
-				return Ok(pageSchema.parse(body));
+				return Ok(logPageSchema.parse(body));
 			} catch (error) {
 				dropConnections(used, signal);
 				return Err({kind: 'away', failure: explainAway(error)});
--- a/tools/harness/fake-keyed-log.ts
+++ b/tools/harness/fake-keyed-log.ts
@@ -98,9 +98,9 @@
 
 				return from < fake.first ? Err({kind: 'gone'}) : Ok({records: records.slice(from), end: records.length});
 			},
-			async append(record, {at}) {
+			async append(record, {expectedEnd}) {
 				fake.onAppend();
-				return append(record, at);
+				return append(record, expectedEnd);
 			},
 		}),
 	};
