--- a/src/transport/caller-server.test.ts
+++ b/src/transport/caller-server.test.ts
@@ -11,10 +11,10 @@
 	return socket;
 }
 
-test('a draining server closes a connection once its running answer is whole', {timeout: 3000}, async () => {
-	// A caller's answer is cut at the end of a planned stop: its kept
-	// connection carried a stream that began before the stop, and takes a new
-	// request seconds later, when there is no time left for it.
+test('a draining server closes a connection once its running response is complete', {timeout: 3000}, async () => {
+	// A stream that began before a planned stop ends during it. If its keep-alive
+	// connection stays open, the caller sends a new request on it seconds later,
+	// and the end of the stop cuts the response to that one short.
 	let begin: (response: ServerResponse) => void = () => undefined;
 	const begun = new Promise<ServerResponse>(resolve => {
 		begin = resolve;
--- a/src/transport/caller-server.ts
+++ b/src/transport/caller-server.ts
@@ -1,59 +1,68 @@
 /**
- * The HTTP server that a gateway's callers reach.
+ * HTTP server of a gateway for its callers.
  *
  * @module
  */
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import restana from 'restana';
 import type {CallerLimits} from '../protocol/mod.js';
-import {createConnectionRegister} from './connection-register.js';
+import {createConnectionTracker} from './connection-tracker.js';
 import {listen, type ListenAddress} from './http-server.js';
 
-/** Answers one request of a caller. */
+/** Handles one request of a caller. */
 export type ServeCaller = (request: IncomingMessage, response: ServerResponse) => Promise<void>;
 
 /** A running server for callers. */
 export type CallerServer = {
 	readonly url: string;
-	/** Puts the limits of a deployment in force for new requests. */
+	/** Applies the limits of a deployment to new requests. */
 	readonly setLimits: (limits: CallerLimits) => void;
-	/** Answers ask callers to close their connections from now on. */
+	/** Sends `connection: close` with every response from now on. */
 	readonly leave: () => void;
 	/**
-	 * Closes the connections that are idle, and others after their answer; returns how many are open. New ones are still
-	 * accepted, so that their callers get an answer and not a refused connection.
+	 * Closes idle connections now and the others after their response; returns how many are still open. New connections
+	 * are still accepted, so that callers receive a response instead of a refused connection.
 	 */
 	readonly drain: () => number;
-	/** Ends all connections at once and accepts no more. */
+	/** Closes all connections immediately and stops listening. */
 	readonly cut: () => void;
-	/** Connections that are open, those ever accepted, and requests ever begun on them. */
 	readonly countWork: () => CallerWork;
 };
 
-/** What callers have asked of a server. */
-export type CallerWork = {readonly open: number; readonly connections: number; readonly requests: number};
+/** Counts of connections and requests. */
+export type CallerWork = {
+	/** Connections open now. */
+	readonly open: number;
+	/** Connections accepted since the start. */
+	readonly connections: number;
+	/** Requests received since the start. */
+	readonly requests: number;
+};
 
-/** Callers reuse a connection up to their own idle limit; closing it later than that crosses no request. */
-const idleReserve = 1000;
-/** How often timeouts of connections are looked at, in milliseconds. */
-const checkEvery = 1000;
-/** Largest headers before a deployment's limit is known, in bytes. */
-const headerLimit = 65_536;
+/**
+ * Added to the idle timeout of a deployment. Callers reuse a connection until it has been idle for that timeout; a server
+ * that closes it only later does not interrupt a request.
+ */
+const idleTimeoutMarginMs = 1000;
+const timeoutCheckIntervalMs = 1000;
+/** Limit on the headers of a request; applies before the limit of the deployment is known. */
+const initialMaxHeaderBytes = 65_536;
 
 /**
- * @internal Asks the caller to close its connection after an answer. A caller
- * that sends its next request without waiting for the answer before gets both
- * only if the last one asks, since the connection closes after the one that
- * does. Returns false if it is too late for that: the request is then not
- * served, as its answer would be thrown away.
+ * @internal Sets `connection: close` on a response. As the connection closes
+ * after the response with this header, a caller that pipelines requests receives
+ * all responses only if just the last one has it; the header is therefore removed
+ * from the previous response. Returns false if that one has already been sent
+ * with the header: the request must not be served, as its response would be
+ * discarded.
  */
-function askToClose(response: ServerResponse, before: ServerResponse | undefined): boolean {
-	if (before?.getHeader('connection') === 'close') {
-		if (before.headersSent) {
+function setConnectionClose(response: ServerResponse, previousResponse: ServerResponse | undefined): boolean {
+	if (previousResponse?.getHeader('connection') === 'close') {
+		if (previousResponse.headersSent) {
 			return false;
 		}
 
-		before.removeHeader('connection');
+		previousResponse.removeHeader('connection');
 	}
 
 	response.setHeader('connection', 'close');
@@ -71,33 +80,33 @@
  * ```
  *
  * @param address Where to listen
- * @param serve Answers requests; never rejects
+ * @param serve Handles requests; must not reject
  * @returns The running server
  * @throws When the address cannot be listened on
  */
 export async function startCallerServer(address: ListenAddress, serve: ServeCaller): Promise<CallerServer> {
 	const server = createServer({
-		requestTimeout: 0, connectionsCheckingInterval: checkEvery, maxHeaderSize: headerLimit, noDelay: true,
+		requestTimeout: 0, connectionsCheckingInterval: timeoutCheckIntervalMs, maxHeaderSize: initialMaxHeaderBytes, noDelay: true,
 	});
-	const connections = createConnectionRegister(server);
-	let isLeaving = false;
+	const tracker = createConnectionTracker(server);
+	let shouldCloseAfterResponse = false;
 	let isDraining = false;
-	let requests = 0;
+	let requestCount = 0;
 	restana({
 		server,
 		prioRequestsProcessing: false,
 		defaultRoute(request, response) {
-			requests += 1;
-			const before = connections.noteRequest(request, response);
-			if (isLeaving && !askToClose(response, before)) {
+			requestCount += 1;
+			const previousResponse = tracker.trackRequest(request, response);
+			if (shouldCloseAfterResponse && !setConnectionClose(response, previousResponse)) {
 				return;
 			}
 
-			// An answer that began before the stop promised to keep its connection. Its caller would send the next request
-			// to a gateway that has little time left, so the connection is closed while it is idle.
+			// A response that began before the stop has no `connection: close`. The connection is closed as soon as it is
+			// idle, so that the caller does not send its next request to a gateway that is about to exit.
 			response.on('close', () => {
 				if (isDraining) {
-					setImmediate(connections.closeIfIdle, request.socket);
+					setImmediate(tracker.closeIfIdle, request.socket);
 				}
 			});
 			void serve(request, response);
@@ -108,21 +117,21 @@
 		url,
 		setLimits(limits) {
 			server.headersTimeout = limits.headerTimeout;
-			server.keepAliveTimeout = limits.idleTimeout + idleReserve;
+			server.keepAliveTimeout = limits.idleTimeout + idleTimeoutMarginMs;
 		},
 		leave() {
-			isLeaving = true;
+			shouldCloseAfterResponse = true;
 		},
 		drain() {
-			isLeaving = true;
+			shouldCloseAfterResponse = true;
 			isDraining = true;
-			connections.closeIdle();
-			return connections.count();
+			tracker.closeIdle();
+			return tracker.countOpen();
 		},
 		cut() {
 			server.close();
 			server.closeAllConnections();
 		},
-		countWork: () => ({open: connections.count(), connections: connections.countAccepted(), requests}),
+		countWork: () => ({open: tracker.countOpen(), connections: tracker.countAccepted(), requests: requestCount}),
 	};
 }
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -1,40 +1,40 @@
 /**
- * Time, as the coordination layer sees it. Measurements put their own in.
+ * The clock used by the coordination layer. Measurements replace it by a virtual one.
  *
  * @module
  */
-/** Time, in milliseconds. */
+/** A source of time in milliseconds. */
 export type Clock = {
-	/** Milliseconds that never go backwards. */
+	/** Returns a monotonic time in milliseconds. */
 	readonly now: () => number;
-	/** Waits; ends early, without an error, when the signal is aborted. */
-	readonly sleep: (span: number, signal?: AbortSignal) => Promise<void>;
+	/** Waits; resolves early, without an error, if the signal is aborted. */
+	readonly sleep: (durationMs: number, signal?: AbortSignal) => Promise<void>;
 };
 
-/** Why a signal that only ends a wait is aborted; without a reason each abort builds an error. */
-const waitOver = new Error('The wait is over');
+/** Shared abort reason; without one, every `abort` call would construct an error. */
+const waitFinished = new Error('The wait has finished');
 
 /**
- * Waits for a value, but no longer than a span.
+ * Waits for a value, but no longer than a timeout.
  *
  * @example
  * ```ts
- * await waitAtMost(answer, {clock, span: 300}); // undefined after 300 ms
+ * await waitAtMost(response, {clock, span: 300}); // undefined after 300 ms
  * ```
  *
- * @param pending The value to come
- * @param options Time, and the longest wait in milliseconds
- * @returns The value; undefined when the span has passed or the signal was aborted first
+ * @param pending The promise to wait for
+ * @param options The clock, and the timeout in milliseconds
+ * @returns The value, or undefined if the timeout expired first
  */
 export async function waitAtMost<Value>(pending: Promise<Value>, {clock, span}: {readonly clock: Clock; readonly span: number}): Promise<Value | undefined> {
 	const timer = new AbortController();
 	const value = await Promise.race([pending, clock.sleep(span, timer.signal)]);
-	timer.abort(waitOver);
+	timer.abort(waitFinished);
 	return value ?? undefined;
 }
 
 /**
- * Creates the clock of the machine.
+ * Creates a clock that uses the monotonic clock and the timers of Node.js.
  *
  * @example
  * ```ts
@@ -46,12 +46,12 @@
 export function createSystemClock(): Clock {
 	return {
 		now: () => performance.now(),
-		async sleep(span, signal) {
+		async sleep(durationMs, signal) {
 			if (signal?.aborted) {
 				return;
 			}
 
-			// A timer of node:timers/promises rejects when it is aborted, with an error that is built for each.
+			// Not node:timers/promises: aborting one of its timers rejects with a newly constructed error.
 			await new Promise<void>(resolve => {
 				const end = () => {
 					clearTimeout(timer);
@@ -59,7 +59,7 @@
 					resolve();
 				};
 
-				const timer = setTimeout(end, span);
+				const timer = setTimeout(end, durationMs);
 				signal?.addEventListener('abort', end);
 			});
 		},
--- a/src/transport/connection-register.test.ts
+++ b/src/transport/connection-tracker.test.ts
@@ -2,17 +2,17 @@
 import {createServer, type Server} from 'node:http';
 import {connect, type AddressInfo, type Socket} from 'node:net';
 import {expect, test} from 'vitest';
-import {createConnectionRegister} from './connection-register.js';
+import {createConnectionTracker} from './connection-tracker.js';
 
 async function startServer() {
 	const server = createServer((request, response) => {
-		connections.noteRequest(request, response);
+		tracker.trackRequest(request, response);
 		response.end('whole');
 	});
-	const connections = createConnectionRegister(server);
+	const tracker = createConnectionTracker(server);
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
-	return {server, connections};
+	return {server, tracker};
 }
 
 async function open(server: Server): Promise<Socket> {
@@ -22,36 +22,37 @@
 	return socket;
 }
 
-test('a connection that carried nothing is idle', async () => {
-	const {server, connections} = await startServer();
+test('a connection without requests is idle', async () => {
+	const {server, tracker} = await startServer();
 	const socket = await open(server);
 	const closed = once(socket, 'close');
-	expect(connections.count()).toBe(1);
-	connections.closeIdle();
+	expect(tracker.countOpen()).toBe(1);
+	tracker.closeIdle();
 	await closed;
-	expect(connections.count()).toBe(0);
+	expect(tracker.countOpen()).toBe(0);
 	server.close();
 });
 
-test('a connection is idle after its answer and not in the middle of a head', async () => {
-	// A caller has sent half of a request when idle connections are closed, and
-	// loses it; the rest of the request finds a reset connection.
-	const {server, connections} = await startServer();
+test('a connection is idle after its response but not while request headers are being received', async () => {
+	// Idle connections are closed while a caller has sent only half of a request.
+	// If its connection counts as idle, the rest of the request is answered by a
+	// connection reset.
+	const {server, tracker} = await startServer();
 	const socket = await open(server);
 	socket.write('GET / HTTP/1.1\r\nHost: a\r\n');
 	await waitForBytes(server, socket);
-	connections.closeIdle();
+	tracker.closeIdle();
 	socket.write('\r\n');
-	const [answer] = await once(socket, 'data') as [Uint8Array];
-	expect(String(answer)).toContain('whole');
+	const [response] = await once(socket, 'data') as [Uint8Array];
+	expect(String(response)).toContain('whole');
 	const closed = once(socket, 'close');
-	connections.closeIdle();
+	tracker.closeIdle();
 	await closed;
-	expect(connections.count()).toBe(0);
+	expect(tracker.countOpen()).toBe(0);
 	server.close();
 });
 
-// A second connection's request is answered after the first one's bytes were read.
+// Waits until the server has read the bytes of the first connection: it answers a request on a second one only after that.
 async function waitForBytes(server: Server, first: Socket): Promise<void> {
 	expect(first.bytesWritten).toBeGreaterThan(0);
 	const other = await open(server);
--- a/src/transport/datagram-socket.test.ts
+++ b/src/transport/datagram-socket.test.ts
@@ -4,7 +4,7 @@
 
 const loopback = {host: '127.0.0.1', port: 0};
 
-async function openCounting(fleetKey: string) {
+async function openCountingSocket(fleetKey: string) {
 	const messages: string[] = [];
 	const counts = {refused: 0, lost: 0};
 	const socket = await openDatagramSocket(loopback, {
@@ -22,9 +22,9 @@
 	return {socket, messages, counts};
 }
 
-test.each(['key', ''])('a message with the key "%s" reaches each address', async key => {
-	const sender = await openCounting(key);
-	const receivers = [await openCounting(key), await openCounting(key)];
+test.each(['key', ''])('a message with the key "%s" is delivered to each address', async key => {
+	const sender = await openCountingSocket(key);
+	const receivers = [await openCountingSocket(key), await openCountingSocket(key)];
 	sender.socket.send(new TextEncoder().encode('news'), receivers.map(({socket}) => socket.address));
 	await wait(100);
 	expect(receivers.map(({messages}) => messages)).toEqual([['news'], ['news']]);
@@ -33,10 +33,10 @@
 	}
 });
 
-// Guards against news forged by a process outside the fleet.
+// Guards against gossip forged by a process outside the fleet.
 test('a message with another key is refused', async () => {
-	const sender = await openCounting('another key');
-	const receiver = await openCounting('key');
+	const sender = await openCountingSocket('another key');
+	const receiver = await openCountingSocket('key');
 	sender.socket.send(new TextEncoder().encode('news'), [receiver.socket.address]);
 	await wait(100);
 	expect(receiver.messages).toEqual([]);
@@ -45,9 +45,9 @@
 	receiver.socket.close();
 });
 
-// Guards against the end of the process by a datagram that cannot be sent as the socket closes.
-test('a closed socket sends nothing and throws nothing', async () => {
-	const {socket} = await openCounting('key');
+// Guards against a crash of the process by a send that coincides with the closing of the socket.
+test('send() on a closed socket does nothing and does not throw', async () => {
+	const {socket} = await openCountingSocket('key');
 	socket.close();
 	expect(() => {
 		socket.send(new Uint8Array([1]), ['127.0.0.1:9']);
--- a/src/transport/datagram-socket.ts
+++ b/src/transport/datagram-socket.ts
@@ -1,6 +1,6 @@
 /**
- * Datagrams between daemons of the fleet, each with a code that only holders
- * of the fleet's key can compute.
+ * UDP datagrams between daemons of the fleet, each authenticated with the
+ * fleet's key.
  *
  * @module
  */
@@ -14,35 +14,35 @@
 export type OpenDatagramSocketOptions = {
 	readonly fleetKey: string;
 	readonly onMessage: (message: Uint8Array) => void;
-	/** Called for each datagram without a valid code. */
+	/** Called for each datagram without a valid message authentication code. */
 	readonly onRefused: () => void;
-	/** Called when a datagram could not be sent; nothing else shows it. */
+	/** Called when a datagram could not be sent; `send` itself reports no error. */
 	readonly onLost: (error: Error) => void;
 };
 
 /** An open socket. */
 export type DatagramSocket = {
-	/** IP number and port. */
+	/** IP address and port. */
 	readonly address: string;
-	/** Sends a message to some addresses; it may be lost. */
+	/** Sends a message to each address; datagrams may be lost. */
 	readonly send: (message: Uint8Array, addresses: readonly string[]) => void;
 	readonly close: () => void;
 };
 
-/** Bytes of the code: half of the hash is enough against guessing. */
-const codeBytes = 16;
+/** Length of the message authentication code; half of the SHA-256 hash is enough to prevent guessing. */
+const macBytes = 16;
 
-/** @internal Empty where there is no key: the network between the daemons is closed to others. */
-function computeCode(fleetKey: string, message: Uint8Array): Uint8Array {
-	return fleetKey === '' ? new Uint8Array() : createHmac('sha256', fleetKey).update(message).digest().subarray(0, codeBytes);
+/** @internal Returns an empty code if there is no key; the network between the daemons must then be closed to others. */
+function computeMac(fleetKey: string, message: Uint8Array): Uint8Array {
+	return fleetKey === '' ? new Uint8Array() : createHmac('sha256', fleetKey).update(message).digest().subarray(0, macBytes);
 }
 
-/** @internal The message of a datagram, or undefined when its code is not the fleet's. */
-function readMessage(fleetKey: string, datagram: Uint8Array): Uint8Array | undefined {
-	const length = fleetKey === '' ? 0 : codeBytes;
-	const message = datagram.subarray(length);
-	const code = datagram.subarray(0, length);
-	return code.length === length && timingSafeEqual(code, computeCode(fleetKey, message)) ? message : undefined;
+/** @internal Returns the message of a datagram, or undefined if its authentication code is invalid. */
+function verifyDatagram(fleetKey: string, datagram: Uint8Array): Uint8Array | undefined {
+	const macLength = fleetKey === '' ? 0 : macBytes;
+	const message = datagram.subarray(macLength);
+	const mac = datagram.subarray(0, macLength);
+	return mac.length === macLength && timingSafeEqual(mac, computeMac(fleetKey, message)) ? message : undefined;
 }
 
 /**
@@ -55,7 +55,7 @@
  * ```
  *
  * @param listenAddress Where to listen
- * @param options The fleet's key, and what takes messages
+ * @param options The fleet's key and the handlers
  * @returns The open socket
  * @throws When the address cannot be listened on
  */
@@ -64,10 +64,10 @@
 	const socket = createSocket('udp4');
 	socket.bind(port, host);
 	await once(socket, 'listening');
-	// Unheard, an error of the socket would end the process.
+	// Without a listener, an `error` event of the socket would terminate the process.
 	socket.on('error', onLost);
 	socket.on('message', datagram => {
-		const message = readMessage(fleetKey, datagram);
+		const message = verifyDatagram(fleetKey, datagram);
 		if (message) {
 			onMessage(message);
 		} else {
@@ -75,11 +75,11 @@
 		}
 	});
 	let isClosed = false;
-	const bound = socket.address();
+	const localAddress = socket.address();
 	return {
-		address: `${bound.address}:${bound.port}`,
+		address: `${localAddress.address}:${localAddress.port}`,
 		send(message, addresses) {
-			const datagram = Buffer.concat([computeCode(fleetKey, message), message]);
+			const datagram = Buffer.concat([computeMac(fleetKey, message), message]);
 			for (const address of addresses) {
 				const [peerHost, peerPort] = address.split(':');
 				if (!isClosed) {
--- a/src/transport/engine-client.ts
+++ b/src/transport/engine-client.ts
@@ -1,6 +1,6 @@
 /**
- * Client of a model engine: streams that can be resumed and cancelled, load
- * reports and orders.
+ * HTTP client of a model engine: resumable and cancellable streams, load reports
+ * and orders.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 /** Options of {@linkcode createEngineClient}. */
 export type CreateEngineClientOptions = {
 	readonly url: string;
-	/** Silence after which a stream counts as lost, in milliseconds. */
+	/** Time without data after which a stream fails, in milliseconds. */
 	readonly silence: number;
 };
 
@@ -27,42 +27,42 @@
 	readonly signal: AbortSignal;
 };
 
-/** One server-sent event of the engine. */
+/** A server-sent event of the engine. */
 export type EngineEvent = {readonly sequence: number; readonly data: string};
 
 const loadSchema = z.object({running: z.number(), queued: z.number(), ageMs: z.number()});
 
-/** An engine's own load report, which lags. */
+/** The engine's own load report, which is out of date by `ageMs`. */
 export type EngineLoad = z.infer<typeof loadSchema>;
 
 /** Client of one engine. */
 export type EngineClient = {
-	/** Streams events from a sequence on; ends after `[DONE]`, throws when the stream breaks. */
+	/** Streams events from a sequence number on; ends at `[DONE]` and throws if the stream breaks off before that. */
 	readonly stream: (call: EngineCall, fromSequence: number) => AsyncGenerator<EngineEvent, Result<undefined, Failure>>;
 	readonly cancel: (requestId: string) => Promise<void>;
 	readonly fetchLoad: () => Promise<EngineLoad | undefined>;
-	/** Gives the engine an order; `fence` is its fencing number. */
+	/** Sends an order to the engine; `fence` is its fencing token. */
 	readonly order: (order: {action: string; value: string; fence: number}) => Promise<boolean>;
 	readonly close: () => Promise<void>;
 };
 
 const okStatus = 200;
 const notFoundStatus = 404;
-const shortTimeout = 2000;
-const doneMark = '[DONE]';
+const requestTimeoutMs = 2000;
+const doneMarker = '[DONE]';
 
-/** @internal */
-async function * splitEvents(body: Readable): AsyncGenerator<EngineEvent> {
+/** @internal Parses server-sent events. */
+async function * parseEvents(body: Readable): AsyncGenerator<EngineEvent> {
 	body.setEncoding('utf8');
-	let rest = '';
+	let buffer = '';
 	let sequence = -1;
 	for await (const text of body as AsyncIterable<string>) {
-		rest += text;
-		let end = rest.indexOf('\n\n');
+		buffer += text;
+		let end = buffer.indexOf('\n\n');
 		while (end >= 0) {
-			const block = rest.slice(0, end);
-			rest = rest.slice(end + 2);
-			end = rest.indexOf('\n\n');
+			const block = buffer.slice(0, end);
+			buffer = buffer.slice(end + 2);
+			end = buffer.indexOf('\n\n');
 			for (const line of block.split('\n')) {
 				if (line.startsWith('id:')) {
 					sequence = Number(line.slice(3));
@@ -75,51 +75,52 @@
 }
 
 /**
- * Tells whether an engine refused a connection: no process listens there.
+ * Returns whether a connection to an engine was refused, which means that no
+ * process listens at its address.
  *
  * @example
  * ```ts
  * isConnectionRefused(error); // true for a connect error with the code ECONNREFUSED
  * ```
  *
- * @param error What a call threw
- * @returns True if it did
+ * @param error The error thrown by a call
+ * @returns True if the connection was refused
  */
 export function isConnectionRefused(error: unknown): boolean {
 	return (error as NodeJS.ErrnoException).code === 'ECONNREFUSED';
 }
 
 /**
- * Creates a client of an engine.
+ * Creates a client for an engine.
  *
  * @example
  * ```ts
  * const engine = createEngineClient({url: 'http://127.0.0.1:8000', silence: 5000});
  * ```
  *
- * @param options Address and time bound
+ * @param options URL and timeout
  * @returns The client
  */
 export function createEngineClient(options: CreateEngineClientOptions): EngineClient {
 	const dispatcher = new Agent({
-		connections: 256, bodyTimeout: options.silence, headersTimeout: options.silence, connect: {timeout: shortTimeout},
+		connections: 256, bodyTimeout: options.silence, headersTimeout: options.silence, connect: {timeout: requestTimeoutMs},
 	});
 
 	async function post(path: string, body: string): Promise<Dispatcher.ResponseData> {
 		return request(`${options.url}${path}`, {
-			method: 'POST', dispatcher, body, headers: {'content-type': 'application/json'}, signal: AbortSignal.timeout(shortTimeout),
+			method: 'POST', dispatcher, body, headers: {'content-type': 'application/json'}, signal: AbortSignal.timeout(requestTimeoutMs),
 		});
 	}
 
-	async function explainRefusal(answer: Dispatcher.ResponseData): Promise<Failure> {
-		const text = await answer.body.text();
-		const lost = answer.statusCode === notFoundStatus;
-		return createFailure(lost ? 'answer-cut' : 'upstream-refused', `The engine answered ${answer.statusCode}: ${text.slice(0, 200)}`, {ran: lost ? 'unknown' : 'no'});
+	async function readRefusal(response: Dispatcher.ResponseData): Promise<Failure> {
+		const text = await response.body.text();
+		const isNotFound = response.statusCode === notFoundStatus;
+		return createFailure(isNotFound ? 'answer-cut' : 'upstream-refused', `The engine responded with status ${response.statusCode}: ${text.slice(0, 200)}`, {ran: isNotFound ? 'unknown' : 'no'});
 	}
 
 	return {
 		async * stream(call, fromSequence) {
-			const answer = await request(`${options.url}/v1/chat/completions`, {
+			const response = await request(`${options.url}/v1/chat/completions`, {
 				method: 'POST', dispatcher, body: call.body, signal: call.signal,
 				headers: {
 					'content-type': 'application/json',
@@ -128,34 +129,34 @@
 					...fromSequence > 0 && {'last-event-id': String(fromSequence - 1)},
 				},
 			});
-			if (answer.statusCode !== okStatus) {
-				return Err(await explainRefusal(answer));
+			if (response.statusCode !== okStatus) {
+				return Err(await readRefusal(response));
 			}
 
-			for await (const event of splitEvents(answer.body)) {
-				if (event.data === doneMark) {
+			for await (const event of parseEvents(response.body)) {
+				if (event.data === doneMarker) {
 					return Ok(undefined);
 				}
 
 				yield event;
 			}
 
-			throw new Error('The engine ended its stream without its last event');
+			throw new Error('The engine closed its stream before the [DONE] event');
 		},
 
 		async cancel(requestId) {
 			try {
-				const answer = await post(`/v1/requests/${requestId}/cancel`, '');
-				await answer.body.dump();
+				const response = await post(`/v1/requests/${requestId}/cancel`, '');
+				await response.body.dump();
 			} catch {
-				// The engine is gone, and the request with it.
+				// The engine cannot be reached; if its process has exited, the request ended with it.
 			}
 		},
 
 		async fetchLoad() {
 			try {
-				const answer = await request(`${options.url}/v1/load`, {dispatcher, signal: AbortSignal.timeout(shortTimeout)});
-				return loadSchema.parse(await answer.body.json());
+				const response = await request(`${options.url}/v1/load`, {dispatcher, signal: AbortSignal.timeout(requestTimeoutMs)});
+				return loadSchema.parse(await response.body.json());
 			} catch {
 				return undefined;
 			}
@@ -163,9 +164,9 @@
 
 		async order(order) {
 			try {
-				const answer = await post('/v1/orders', JSON.stringify(order));
-				await answer.body.dump();
-				return answer.statusCode === okStatus;
+				const response = await post('/v1/orders', JSON.stringify(order));
+				await response.body.dump();
+				return response.statusCode === okStatus;
 			} catch {
 				return false;
 			}
--- a/src/transport/fleet-client.test.ts
+++ b/src/transport/fleet-client.test.ts
@@ -7,8 +7,8 @@
 import {afterEach, expect, test} from 'vitest';
 
 const closers: Array<() => void> = [];
-/** Milliseconds for what takes a tenth of it; a process that spins also fills the memory. */
-const bound = 5000;
+/** Several times what a run takes. A process in an endless loop also fills its memory, so it is killed after this time. */
+const processTimeoutMs = 5000;
 
 afterEach(() => {
 	for (const close of closers.splice(0)) {
@@ -16,7 +16,7 @@
 	}
 });
 
-/** Starts a peer that does something with each connection. */
+/** Starts a peer that calls `onSession` for each connection. */
 async function serve(onSession: (session: ServerHttp2Session) => void): Promise<string> {
 	const server = createServer();
 	server.on('session', session => {
@@ -29,15 +29,18 @@
 	return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-/** Calls a peer in a process of its own, since one that spins cannot be ended from within; each call that fails abandons the connection. */
-async function callInProcess(address: string, {lanes, rounds}: {lanes: number; rounds: number}): Promise<string> {
+/**
+ * Calls a peer from a separate process, since a process in an endless loop cannot end itself. Each call that fails abandons
+ * the connection. Returns the output of the process.
+ */
+async function callInProcess(address: string, {concurrency, rounds}: {concurrency: number; rounds: number}): Promise<string> {
 	const module = pathToFileURL('dist/src/transport/mod.js').href;
 	const script = `
 		const {createFleetClient} = await import('${module}');
 		const fleet = createFleetClient('key-of-the-fleet-000');
 		let failed = 0;
 		for (let round = 0; round < ${rounds}; round += 1) {
-			await Promise.all(Array.from({length: ${lanes}}, async () => {
+			await Promise.all(Array.from({length: ${concurrency}}, async () => {
 				const connection = fleet.connect('${address}');
 				try {
 					await connection.relay.readNewest({log: 'grants'}, {timeoutMs: 1000});
@@ -51,37 +54,37 @@
 		process.exit();
 	`;
 	const child = spawn(process.execPath, ['--input-type=module', '--eval', script], {stdio: ['ignore', 'pipe', 'pipe']});
-	let told = '';
-	const keep = (data: Uint8Array) => {
-		told += String(data);
+	let output = '';
+	const appendOutput = (data: Uint8Array) => {
+		output += String(data);
 	};
 
-	child.stdout.on('data', keep);
-	child.stderr.on('data', keep);
+	child.stdout.on('data', appendOutput);
+	child.stderr.on('data', appendOutput);
 	const timer = setTimeout(() => {
-		told += 'still running';
+		output += 'still running';
 		child.kill('SIGKILL');
-	}, bound);
+	}, processTimeoutMs);
 	await once(child, 'close');
 	clearTimeout(timer);
-	return told;
+	return output;
 }
 
-test('a connection abandoned while its peer ends it leaves the process running', async () => {
-	// A gateway stands still and fills its memory, and no signal but SIGKILL
-	// ends it: its peer stopped with two calls on the connection, the first to
-	// fail destroyed the session while nghttp2 was still ending its streams,
-	// and Node.js then sends empty frames of the second without end.
+test('abandoning a connection that the peer is closing does not stall the process', async () => {
+	// A peer stops while two calls run on the connection. The first call to fail
+	// destroys the session while nghttp2 is still ending its streams, and Node.js
+	// then sends empty frames for the second one in an endless loop: the process
+	// stalls, fills its memory and can only be ended by SIGKILL.
 	const address = await serve(session => {
 		session.destroy();
 	});
-	expect(await callInProcess(address, {lanes: 2, rounds: 20})).toBe('ended 40');
+	expect(await callInProcess(address, {concurrency: 2, rounds: 20})).toBe('ended 40');
 });
 
-test('a connection abandoned just as its peer leaves it ends no process', async () => {
-	// A gateway ends by itself: a call had failed, its peer said in the same
-	// moment that it leaves, and the library, told to abandon a session that
-	// it was destroying for that, no longer listened for its error.
+test('abandoning a connection right after the peer has closed it does not crash the process', async () => {
+	// A call fails, and the peer sends GOAWAY at the same moment. Connect is
+	// already destroying the session when it is told to abandon it, and no longer
+	// listens for its error, which terminates the process.
 	const address = await serve(session => {
 		session.on('stream', stream => {
 			stream.on('error', () => undefined);
@@ -92,5 +95,5 @@
 			}, 1);
 		});
 	});
-	expect(await callInProcess(address, {lanes: 1, rounds: 200})).toBe('ended 200');
+	expect(await callInProcess(address, {concurrency: 1, rounds: 200})).toBe('ended 200');
 });
--- a/src/transport/fleet-client.ts
+++ b/src/transport/fleet-client.ts
@@ -1,5 +1,5 @@
 /**
- * Connections from one daemon to its peers.
+ * RPC connections from a daemon to its peers.
  *
  * @module
  */
@@ -11,23 +11,24 @@
 } from '../protocol/mod.js';
 import {fleetKeyHeader} from './fleet-server.js';
 
-/** Clients of one peer, over one connection. */
+/** RPC clients for one peer that share one connection. */
 export type PeerConnection = {
 	readonly peer: Client<typeof Peer>;
 	readonly upstream: Client<typeof Upstream>;
 	readonly gateway: Client<typeof Gateway>;
 	readonly relay: Client<typeof Relay>;
-	/** Abandons the connection; the next call opens a new one. */
+	/** Closes the connection and cancels its calls; the next call opens a new one. */
 	readonly abandon: () => void;
 };
 
-/** Connections to peers, by address. */
+/** Pool of connections to peers. */
 export type FleetClient = {
+	/** Returns the connection to an address (IP address and port). */
 	readonly connect: (address: string) => PeerConnection;
 	readonly close: () => void;
 };
 
-const idleTimeout = 300_000;
+const idleTimeoutMs = 300_000;
 
 /** @internal */
 function createKeyInterceptor(fleetKey: string): Interceptor {
@@ -37,24 +38,27 @@
 	};
 }
 
-const dropError = () => undefined;
+const ignoreError = () => undefined;
 
-// The library destroys a session that the peer leaves, and hears its error only until the connection is abandoned.
-// Unheard, the error ends the process; the calls on the session are told of it in any case.
-/** @internal */
-function listenForErrors(session: Http2Session | undefined): void {
-	if (session && !session.listeners('error').includes(dropError)) {
-		session.on('error', dropError);
+/**
+ * @internal Connect destroys a session that the peer closes, but removes its own
+ * error listener when the session manager is aborted. Without a listener, the
+ * error would terminate the process. It can be ignored, as the calls on the
+ * session receive it as well.
+ */
+function ignoreSessionErrors(session: Http2Session | undefined): void {
+	if (session && !session.listeners('error').includes(ignoreError)) {
+		session.on('error', ignoreError);
 	}
 }
 
 /** @internal */
-function openConnection(address: string, fleetKey: string, forget: () => void): PeerConnection {
+function openConnection(address: string, fleetKey: string, removeFromPool: () => void): PeerConnection {
 	const baseUrl = `http://${address}`;
-	// Something between two hosts can lose track of a connection, which then stays silent for good while new ones work.
-	// Heartbeats and the frames of running streams find that, and abandon it; the next call opens a new connection.
-	// The library's own pings stay off: one that fires on an abandoned connection ends the process.
-	const sessions = new Http2SessionManager(baseUrl, {idleConnectionTimeoutMs: idleTimeout});
+	// A network device between two hosts can drop the state of a connection, which then never responds again while new
+	// connections work. Heartbeats and missing frames of running streams detect that, and the connection is abandoned.
+	// The pings of Connect stay disabled: one that fires on an abandoned connection terminates the process.
+	const sessions = new Http2SessionManager(baseUrl, {idleConnectionTimeoutMs: idleTimeoutMs});
 	const transport = createConnectTransport({
 		baseUrl,
 		httpVersion: '2',
@@ -62,7 +66,7 @@
 			authority: sessions.authority,
 			async request(...call) {
 				const stream = await sessions.request(...call);
-				listenForErrors(stream.session);
+				ignoreSessionErrors(stream.session);
 				return stream;
 			},
 			notifyResponseByteRead(stream) {
@@ -77,10 +81,10 @@
 		gateway: createClient(Gateway, transport),
 		relay: createClient(Relay, transport),
 		abandon() {
-			forget();
-			// A call's failure is told while nghttp2 still ends the other streams of a connection that the peer closes.
-			// A session destroyed then sends empty frames without end: the process stands still, fills its memory and takes
-			// no signal. In a later turn of the event loop all streams have ended.
+			removeFromPool();
+			// When the peer closes the connection, a call fails while nghttp2 is still ending the other streams. Destroying
+			// the session at that point makes it send empty frames in an endless loop: the process stalls, fills its memory
+			// and does not handle signals. In the next iteration of the event loop all streams have ended.
 			setImmediate(() => {
 				sessions.abort();
 			});
@@ -89,7 +93,8 @@
 }
 
 /**
- * Creates the connections of a daemon; each is opened by its first call.
+ * Creates a connection pool for a daemon; each connection is opened by its
+ * first call.
  *
  * @example
  * ```ts
@@ -97,16 +102,16 @@
  * await fleet.connect('127.0.0.1:7100').peer.heartbeat({from: 'entry-1'}, {timeoutMs: 1000});
  * ```
  *
- * @param fleetKey The secret that all daemons share
- * @returns The connections
+ * @param fleetKey The secret shared by all daemons
+ * @returns The connection pool
  */
 export function createFleetClient(fleetKey: string): FleetClient {
 	const connections = new Map<string, PeerConnection>();
 	return {
 		connect(address) {
-			const known = connections.get(address);
-			if (known) {
-				return known;
+			const existing = connections.get(address);
+			if (existing) {
+				return existing;
 			}
 
 			const connection = openConnection(address, fleetKey, () => {
--- a/src/transport/fleet-server.test.ts
+++ b/src/transport/fleet-server.test.ts
@@ -7,9 +7,9 @@
 import {startFleetServer} from './fleet-server.js';
 
 const fleetKey = 'fleet-key';
-const answerAfter = 100;
+const answerDelayMs = 100;
 const frameBytes = 8000;
-/** Together more than the client and flow control take unread. */
+/** All frames together exceed what the client and flow control accept unread. */
 const frameCount = 100;
 
 async function startServer(onStreamed: () => void) {
@@ -19,7 +19,7 @@
 		routes(router) {
 			router.service(Upstream, {
 				async fence() {
-					await wait(answerAfter);
+					await wait(answerDelayMs);
 					return {state: 'done', billed: []};
 				},
 				async * run() {
@@ -34,13 +34,13 @@
 	});
 }
 
-// A peer's call fails on a planned stop although it was taken before: the
-// connection was destroyed while the answer was being made.
-test('close() answers a call that was taken before it', {timeout: 5000}, async () => {
+// On a planned stop, a running call of a peer fails because the connection is
+// destroyed before the response has been sent.
+test('close() answers a call that was received before it', {timeout: 5000}, async () => {
 	const server = await startServer(() => undefined);
 	const client = createFleetClient(fleetKey);
 	const reply = client.connect(server.address).upstream.fence({requestId: 'r-1', attempt: 1, from: 'entry-1'}, {timeoutMs: 2000});
-	await wait(answerAfter / 2);
+	await wait(answerDelayMs / 2);
 	const closed = server.close();
 	const {state} = await reply;
 	await closed;
@@ -48,9 +48,9 @@
 	expect(state).toBe('done');
 });
 
-// A caller's stream loses its last frames on a planned stop: the upstream daemon
-// has made them all, and they wait behind flow control for an entry that
-// reads on a moment later.
+// On a planned stop, a caller's stream loses its last frames: the upstream daemon
+// has produced all of them, but flow control holds them back until the entry
+// daemon, which reads more slowly, has read the earlier ones.
 test('close() sends the frames that flow control holds back', {timeout: 5000}, async () => {
 	let closed: Promise<void> | undefined;
 	const server = await startServer(() => {
@@ -68,9 +68,9 @@
 	expect(frames).toBe(frameCount);
 });
 
-// A planned stop never ends: a peer that the server has closed its connection
-// to keeps its own side open.
-test('close() ends though a peer keeps its side of the connection open', {timeout: 5000}, async () => {
+// A planned stop hangs because a peer keeps its side of the connection open after
+// the server has closed its own.
+test('close() finishes although a peer keeps its side of the connection open', {timeout: 5000}, async () => {
 	const server = await startServer(() => undefined);
 	const [host, port] = server.address.split(':');
 	const socket = connect({host, port: Number(port), allowHalfOpen: true});
--- a/src/transport/fleet-server.ts
+++ b/src/transport/fleet-server.ts
@@ -1,5 +1,5 @@
 /**
- * The server that daemons of the fleet answer each other on.
+ * RPC server of a daemon for the other daemons of the fleet.
  *
  * @module
  */
@@ -25,20 +25,20 @@
 
 /** A running fleet server. */
 export type FleetServer = {
-	/** IP number and port. */
+	/** IP address and port. */
 	readonly address: string;
-	/** Takes no new calls, lets those that it has taken end within a bound, and closes the connections. */
+	/** Refuses new calls, gives running ones a limited time to finish, and closes the connections. */
 	readonly close: () => Promise<void>;
 };
 
 /**
- * How long calls may take to end when the server closes, in milliseconds: many
- * times the way between two failure domains, and short beside every stop.
+ * How long `close` waits for running calls: many times the network latency
+ * between two failure domains, and short compared with the time limit of a stop.
  */
-const closeBound = 300;
+const closeTimeoutMs = 300;
 
-/** @internal */
-function createKeyCheck(options: StartFleetServerOptions): Interceptor {
+/** @internal Rejects calls without the fleet's key. */
+function createKeyVerifier(options: StartFleetServerOptions): Interceptor {
 	return next => async request => {
 		if (!isSameSecret(request.header.get(fleetKeyHeader) ?? '', options.fleetKey)) {
 			options.onRefused();
@@ -50,7 +50,7 @@
 }
 
 /**
- * Starts the server of a daemon for its peers.
+ * Starts the RPC server of a daemon.
  *
  * @example
  * ```ts
@@ -65,7 +65,7 @@
 export async function startFleetServer(listenAddress: ListenAddress, options: StartFleetServerOptions): Promise<FleetServer> {
 	const sessions = new Set<ServerHttp2Session>();
 	const sockets = new Set<Socket>();
-	const server = createServer(connectNodeAdapter({routes: options.routes, interceptors: [createKeyCheck(options)]}));
+	const server = createServer(connectNodeAdapter({routes: options.routes, interceptors: [createKeyVerifier(options)]}));
 	server.on('connection', (socket: Socket) => {
 		sockets.add(socket);
 		socket.on('close', () => {
@@ -77,7 +77,8 @@
 		session.on('close', () => {
 			sessions.delete(session);
 		});
-		// A peer that resets its connection is seen by the calls on it; unheard, the event would end the process.
+		// Emitted when a peer resets its connection. The calls on it fail by themselves, but without a listener the event
+		// would terminate the process.
 		session.on('error', () => {
 			session.destroy();
 		});
@@ -95,18 +96,19 @@
 					resolve();
 				});
 			});
-			// A connection destroyed at once takes along the answers being made on it and the frames that flow control holds
-			// back: a peer that read 100 frames of 8 kB lost the last ones. One that is closed ends its calls first.
+			// Closing a session, unlike destroying it, lets its calls finish. Destroying it would lose unfinished responses
+			// and frames held back by flow control: a peer that read 100 frames of 8 kB lost the last ones.
 			for (const session of sessions) {
 				session.close();
 			}
 
-			// Not the sessions: one that was closed waits, even when it is destroyed, for its peer to close the connection.
+			// Destroys the sockets, not the sessions: a closed session, even if destroyed, waits for its peer to close the
+			// connection.
 			const timer = setTimeout(() => {
 				for (const socket of sockets) {
 					socket.destroy();
 				}
-			}, closeBound);
+			}, closeTimeoutMs);
 			await closed;
 			clearTimeout(timer);
 		},
--- a/src/transport/host-list-client.ts
+++ b/src/transport/host-list-client.ts
@@ -1,5 +1,6 @@
 /**
- * Client of the platform's host list, which lags and so is only a hint.
+ * HTTP client of the platform's host list. The list can be out of date, so it is
+ * only a hint.
  *
  * @module
  */
@@ -12,7 +13,7 @@
 /** Schema of the host list. */
 export const hostListSchema = z.object({
 	hosts: z.array(z.object({
-		/** The daemon on the host. */
+		/** Id of the daemon on the host. */
 		id: z.string(),
 		state: z.enum(['live', 'leaving']),
 	})),
@@ -21,23 +22,23 @@
 /** The host list. */
 export type HostList = z.infer<typeof hostListSchema>;
 
-const timeout = 2000;
+const requestTimeoutMs = 2000;
 
-/** Client of the host list; an interface so that tests can stand in for it. */
+/** Client of the host list; a separate type so that tests can replace the client. */
 export type HostListClient = {
 	readonly fetch: () => Promise<Result<HostList, Failure>>;
 	readonly close: () => Promise<void>;
 };
 
 /**
- * Creates a client of the host list.
+ * Creates a client for the host list.
  *
  * @example
  * ```ts
  * const hosts = await createHostListClient('http://127.0.0.1:7001').fetch();
  * ```
  *
- * @param url The host list's address
+ * @param url Base URL of the host list
  * @returns The client
  */
 export function createHostListClient(url: string): HostListClient {
@@ -45,10 +46,10 @@
 	return {
 		async fetch() {
 			try {
-				const answer = await request(`${url}/v1/hosts`, {dispatcher, signal: AbortSignal.timeout(timeout)});
-				return Ok(hostListSchema.parse(await answer.body.json()));
+				const response = await request(`${url}/v1/hosts`, {dispatcher, signal: AbortSignal.timeout(requestTimeoutMs)});
+				return Ok(hostListSchema.parse(await response.body.json()));
 			} catch (error) {
-				return Err(createFailure('internal', `The host list at ${url} does not answer: ${(error as Error).message}`));
+				return Err(createFailure('internal', `Failed to fetch the host list from ${url}: ${(error as Error).message}`));
 			}
 		},
 
--- a/src/transport/http-server.test.ts
+++ b/src/transport/http-server.test.ts
@@ -3,10 +3,10 @@
 import {expect, test} from 'vitest';
 import {startHttpServer, waitUntilSent} from './http-server.js';
 
-// An entry takes its full bound to stop and says that it cut a request: a
-// caller had pipelined two and left. The second one's answer waited behind the
-// first one's and is told nothing of the connection's end.
-test('waitUntilSent() ends when the connection closes before a pipelined answer had its turn', {timeout: 3000}, async () => {
+// A caller pipelines two requests and disconnects. The second response is queued
+// behind the first and gets no event when the connection closes, so an entry
+// daemon that is stopping waits for its full time limit and reports an aborted request.
+test('waitUntilSent() returns when the connection closes before a pipelined response was sent', {timeout: 3000}, async () => {
 	let end: () => void = () => undefined;
 	const ended = new Promise<void>(resolve => {
 		end = resolve;
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -20,19 +20,19 @@
 /** A running HTTP server. */
 export type HttpServer = {
 	readonly url: string;
-	/** Stops listening and closes connections; called when no request runs any more. */
+	/** Stops listening and closes all connections; to be called once no request is running. */
 	readonly close: () => Promise<void>;
-	/** Ends all connections at once. */
+	/** Closes all connections immediately, also those with running requests. */
 	readonly cut: () => void;
 };
 
 /** A function that adds routes to a restana service. */
 export type AddRoutes = (service: restana.Service<restana.Protocol.HTTP>) => void;
 
-/** How long connections without a running request may stay open at a stop, in milliseconds. */
-const closeBound = 500;
+/** How long `close` waits for open connections before it closes them. */
+const closeTimeoutMs = 500;
 
-/** @internal */
+/** @internal Listens on an address and returns the server's URL. */
 export async function listen(server: Server, address: ListenAddress): Promise<string> {
 	await new Promise<void>((resolve, reject) => {
 		server.once('error', reject);
@@ -53,7 +53,7 @@
  * });
  * ```
  *
- * @param address Where to listen; port 0 lets the system choose
+ * @param address Where to listen; with port 0 the system picks a free port
  * @param addRoutes Adds the routes
  * @returns The running server
  * @throws When the address cannot be listened on
@@ -64,16 +64,16 @@
 		server,
 		prioRequestsProcessing: false,
 		errorHandler(error, _request, response) {
-			// An answer that has begun cannot become a failure any more; the caller sees it cut.
+			// The status line is already sent, so the failure can only be signalled by cutting the response short.
 			if (response.headersSent) {
 				response.destroy();
 				return;
 			}
 
-			sendFailure(response, createFailure('internal', `The daemon failed: ${error.message}`, {ran: 'unknown'}));
+			sendFailure(response, createFailure('internal', `Internal error in the daemon: ${error.message}`, {ran: 'unknown'}));
 		},
 		defaultRoute(request, response) {
-			sendFailure(response, createFailure('unknown-object', `There is nothing at "${request.url ?? ''}"`));
+			sendFailure(response, createFailure('unknown-object', `No route matches "${request.url ?? ''}"`));
 		},
 	});
 	addRoutes(service);
@@ -87,10 +87,10 @@
 				});
 			});
 			server.closeIdleConnections();
-			// A balancer that asks for readiness on a kept connection would hold a stop up for good.
+			// A load balancer that polls readiness over a keep-alive connection would otherwise block the stop forever.
 			const timer = setTimeout(() => {
 				server.closeAllConnections();
-			}, closeBound);
+			}, closeTimeoutMs);
 			await closed;
 			clearTimeout(timer);
 		},
@@ -108,7 +108,7 @@
  * sendFailure(response, createFailure('overloaded', 'All 4 upstreams are full', {retryAfterMs: 2000}));
  * ```
  *
- * @param response The answer; nothing may have been written to it
+ * @param response The response; nothing may have been written to it
  * @param failure The failure
  */
 export function sendFailure(response: ServerResponse, failure: Failure): void {
@@ -123,15 +123,15 @@
 }
 
 /**
- * Sends a JSON document.
+ * Sends a JSON document with status 200.
  *
  * @example
  * ```ts
  * sendJson(response, {ready: true});
  * ```
  *
- * @param response The answer
- * @param document What to send, with status 200
+ * @param response The response; nothing may have been written to it
+ * @param document The document to send
  */
 export function sendJson(response: ServerResponse, document: unknown): void {
 	response.statusCode = 200;
@@ -140,14 +140,14 @@
 }
 
 /**
- * Waits until the system has the whole of an ended answer, or its connection
- * is closed.
+ * Waits until an ended response has been handed to the operating system
+ * completely, or until its connection is closed.
  *
- * What a slow caller has not read yet waits in this process. A stop that
- * closes the connection over it cuts the answer: of 32 MiB a caller that reads
- * a second late got 3.7 MiB, on loopback. `finished` and the end of the
- * handler say only that all was written; the response's `close` comes once
- * the system has it.
+ * Data that a slow caller has not read yet is buffered in this process, and is
+ * lost if a stop closes the connection: a caller on loopback that started to
+ * read one second late received 3.7 MiB of a 32 MiB response. The end of the
+ * handler and `finished` mean only that everything was written to the buffer;
+ * the response emits `close` once the system has taken it.
  *
  * @example
  * ```ts
@@ -156,7 +156,7 @@
  * ```
  *
  * @param request The request
- * @param response Its answer
+ * @param response The response to it
  */
 export async function waitUntilSent(request: IncomingMessage, response: ServerResponse): Promise<void> {
 	const {socket} = request;
@@ -165,25 +165,25 @@
 	}
 
 	await new Promise<void>(resolve => {
-		const end = () => {
-			response.off('close', end);
-			socket.off('close', end);
+		const finish = () => {
+			response.off('close', finish);
+			socket.off('close', finish);
 			resolve();
 		};
 
-		response.on('close', end);
-		// A pipelined request's answer waits for its turn on the connection; when that closes first, the answer itself tells
-		// nothing, and the request would count as running for good.
-		socket.on('close', end);
+		response.on('close', finish);
+		// The response to a pipelined request is queued behind earlier ones. If the connection closes before its turn, the
+		// response emits no event, and the request would be counted as running forever.
+		socket.on('close', finish);
 	});
 }
 
 /**
- * Lets the event loop read what has arrived on its connections.
+ * Lets the event loop process pending input on its connections.
  *
- * A process that falls behind, after a freeze or a cold start, reads a request
- * together with many others; that its caller closed the connection meanwhile
- * stands behind the request and is read only in the loop's next round.
+ * After a stall or a cold start a process reads many requests in one iteration
+ * of the event loop. If a caller has closed its connection in the meantime, that
+ * is noticed only in the next iteration.
  *
  * @example
  * ```ts
@@ -191,7 +191,7 @@
  * ```
  */
 export async function readArrived(): Promise<void> {
-	// The first turn ends the round in which the request was read, the second the one after it.
+	// The first await ends the iteration in which the request was read, the second the one after it.
 	await nextTurn();
 	await nextTurn();
 }
@@ -199,8 +199,8 @@
 /**
  * Reads the body of a request.
  *
- * The rest of an oversized body is read and thrown away, so that the caller
- * gets the answer and not a reset connection.
+ * The rest of an oversized body is read and discarded, so that the caller
+ * receives the response instead of a connection reset.
  *
  * @example
  * ```ts
@@ -208,20 +208,20 @@
  * ```
  *
  * @param request The request
- * @param limit Largest size in bytes
+ * @param maxBytes Maximum size of the body
  * @returns The bytes, or `body-too-large`
  */
-export async function readBody(request: IncomingMessage, limit: number): Promise<Result<Uint8Array, Failure>> {
+export async function readBody(request: IncomingMessage, maxBytes: number): Promise<Result<Uint8Array, Failure>> {
 	const chunks: Uint8Array[] = [];
 	let size = 0;
 	for await (const chunk of request as AsyncIterable<Uint8Array>) {
 		size += chunk.length;
-		if (size <= limit) {
+		if (size <= maxBytes) {
 			chunks.push(chunk);
 		}
 	}
 
-	return size > limit
-		? Err(createFailure('body-too-large', `The body has ${size} bytes and may have ${limit}`))
+	return size > maxBytes
+		? Err(createFailure('body-too-large', `The request body has ${size} bytes, the limit is ${maxBytes}`))
 		: Ok(Buffer.concat(chunks));
 }
--- a/src/transport/log-client.ts
+++ b/src/transport/log-client.ts
@@ -1,5 +1,5 @@
 /**
- * Client of the platform's log service.
+ * HTTP client of the platform's log service.
  *
  * @module
  */
@@ -7,9 +7,9 @@
 import {
 	Err, Ok, createFailure, pageSchema, type Failure, type LogPage, type LogRecord, type Result,
 } from '../protocol/mod.js';
-import {createBound} from './bound.js';
+import {createBound} from './abort-signals.js';
 
-/** Why a read failed: the log is away, or it no longer keeps the offset asked for. */
+/** Why a read failed: `away` if the log is unavailable, `gone` if it no longer keeps the requested offset. */
 export type ReadFailure =
 	| {readonly kind: 'away'; readonly failure: Failure}
 	| {readonly kind: 'gone'; readonly first: number; readonly next: number};
@@ -18,20 +18,20 @@
 export type CreateLogClientOptions = {
 	readonly url: string;
 	readonly stream: string;
-	/** How long an append or a read may take, in milliseconds. */
+	/** Timeout of an append or a read, in milliseconds. */
 	readonly timeout: number;
 };
 
 /** Options of {@linkcode LogClient.read}. */
 export type ReadLogOptions = {
-	/** How long the log may hold the answer back for a new record, in milliseconds; default 0. */
+	/** How long the log service may delay the response until there is a new record, in milliseconds; default 0. */
 	readonly wait?: number;
 	readonly signal?: AbortSignal;
 };
 
-/** Client of the log service; an interface so that tests can stand in for it. */
+/** Client of the log service; a separate type so that tests can replace the client. */
 export type LogClient = {
-	/** Appends records in order, at adjoining offsets. After a failure the records may stand on the log all the same. */
+	/** Appends records in order, at consecutive offsets. After a failure the records may still be recorded in the log. */
 	readonly append: (records: readonly LogRecord[]) => Promise<Result<undefined, Failure>>;
 	readonly read: (from: number, options?: ReadLogOptions) => Promise<Result<LogPage, ReadFailure>>;
 	readonly close: () => Promise<void>;
@@ -39,15 +39,15 @@
 
 const goneStatus = 410;
 const okStatus = 200;
-const pageLimit = 1000;
+const maxPageRecords = 1000;
 
 /** @internal */
-function openDispatcher(timeout: number): Agent {
-	return new Agent({connections: 4, pipelining: 1, connect: {timeout}});
+function createDispatcher(timeoutMs: number): Agent {
+	return new Agent({connections: 4, pipelining: 1, connect: {timeout: timeoutMs}});
 }
 
 /**
- * Creates a client of the log service.
+ * Creates a client for the log service.
  *
  * @example
  * ```ts
@@ -55,68 +55,68 @@
  * await log.read(0);
  * ```
  *
- * @param options Address, stream and time bound
+ * @param options URL, stream and timeout
  * @returns The client
  */
 export function createLogClient(options: CreateLogClientOptions): LogClient {
-	let dispatcher = openDispatcher(options.timeout);
+	let dispatcher = createDispatcher(options.timeout);
 	let isClosed = false;
 	const address = `${options.url}/v1/streams/${options.stream}/records`;
 
-	function explainAway(error: unknown): Failure {
-		return createFailure('log-unavailable', `The log service at ${options.url} does not answer: ${(error as Error).message}`);
+	function createUnavailableFailure(error: unknown): Failure {
+		return createFailure('log-unavailable', `The log service at ${options.url} is unavailable: ${(error as Error).message}`);
 	}
 
-	// Connections can go silent for good, all that are open together, while new ones work. A call that fails shows it
-	// within its bound; every open connection is dropped then, so that the next call opens a new one.
-	function dropConnections(used: Agent, signal?: AbortSignal): void {
-		if (used === dispatcher && !signal?.aborted && !isClosed) {
-			dispatcher = openDispatcher(options.timeout);
-			void used.destroy();
+	// All open connections can become unresponsive permanently and at once, while new ones work. The first call to time
+	// out detects that; all open connections are then dropped, so that the next call opens a new one.
+	function dropConnections(failedDispatcher: Agent, signal?: AbortSignal): void {
+		if (failedDispatcher === dispatcher && !signal?.aborted && !isClosed) {
+			dispatcher = createDispatcher(options.timeout);
+			void failedDispatcher.destroy();
 		}
 	}
 
 	return {
 		async append(records) {
-			const used = dispatcher;
-			const bound = createBound(options.timeout);
+			const usedDispatcher = dispatcher;
+			const timeout = createBound(options.timeout);
 			try {
-				const answer = await request(address, {
-					method: 'POST', dispatcher: used, signal: bound.signal,
+				const response = await request(address, {
+					method: 'POST', dispatcher: usedDispatcher, signal: timeout.signal,
 					headers: {'content-type': 'application/json'},
 					body: JSON.stringify({records}),
 				});
-				const text = await answer.body.text();
-				return answer.statusCode === okStatus ? Ok(undefined) : Err(explainAway(new Error(`status ${answer.statusCode} ${text}`)));
+				const text = await response.body.text();
+				return response.statusCode === okStatus ? Ok(undefined) : Err(createUnavailableFailure(new Error(`status ${response.statusCode} ${text}`)));
 			} catch (error) {
-				dropConnections(used);
-				return Err(explainAway(error));
+				dropConnections(usedDispatcher);
+				return Err(createUnavailableFailure(error));
 			} finally {
-				bound.clear();
+				timeout.clear();
 			}
 		},
 
 		async read(from, {wait = 0, signal} = {}) {
-			const used = dispatcher;
-			const bound = createBound(options.timeout + wait, signal ? [signal] : []);
+			const usedDispatcher = dispatcher;
+			const timeout = createBound(options.timeout + wait, signal ? [signal] : []);
 			try {
-				const answer = await request(`${address}?from=${from}&wait=${wait}&limit=${pageLimit}`, {dispatcher: used, signal: bound.signal});
-				const body = await answer.body.json();
-				if (answer.statusCode === goneStatus) {
+				const response = await request(`${address}?from=${from}&wait=${wait}&limit=${maxPageRecords}`, {dispatcher: usedDispatcher, signal: timeout.signal});
+				const body = await response.body.json();
+				if (response.statusCode === goneStatus) {
 					const {first, next} = pageSchema.parse(body);
 					return Err({kind: 'gone', first, next});
 				}
 
-				if (answer.statusCode !== okStatus) {
-					return Err({kind: 'away', failure: explainAway(new Error(`status ${answer.statusCode}`))});
+				if (response.statusCode !== okStatus) {
+					return Err({kind: 'away', failure: createUnavailableFailure(new Error(`status ${response.statusCode}`))});
 				}
 
 				return Ok(pageSchema.parse(body));
 			} catch (error) {
-				dropConnections(used, signal);
-				return Err({kind: 'away', failure: explainAway(error)});
+				dropConnections(usedDispatcher, signal);
+				return Err({kind: 'away', failure: createUnavailableFailure(error)});
 			} finally {
-				bound.clear();
+				timeout.clear();
 			}
 		},
 
--- a/src/transport/mod.ts
+++ b/src/transport/mod.ts
@@ -1,13 +1,13 @@
 /**
- * Sockets, servers and clients; knows no budgets. Calls only the protocol
- * layer.
+ * Sockets, servers and clients. Knows nothing of budgets and depends only on the
+ * protocol layer.
  *
  * @module
  */
-export * from './bound.js';
+export * from './abort-signals.js';
 export * from './caller-server.js';
 export * from './clock.js';
-export * from './connection-register.js';
+export * from './connection-tracker.js';
 export * from './datagram-socket.js';
 export * from './engine-client.js';
 export * from './fleet-client.js';
--- a/src/transport/probe-address.test.ts
+++ b/src/transport/probe-address.test.ts
@@ -3,7 +3,7 @@
 import {expect, test} from 'vitest';
 import {probeAddress} from './mod.js';
 
-test('a listening process is told from one that has ended', async () => {
+test('probeAddress() distinguishes a listening process from one that has exited', async () => {
 	const server = createServer();
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
--- a/src/transport/probe-address.ts
+++ b/src/transport/probe-address.ts
@@ -1,31 +1,32 @@
 /**
- * Asks whether a process listens at an address.
+ * Checks whether a process listens at an address.
  *
  * @module
  */
 import {connect} from 'node:net';
 
-/** What an address does with a new connection: takes it, refuses it, or keeps silent. */
+/** Result of opening a connection: accepted, refused, or no response or another error (`silent`). */
 export type ProbeVerdict = 'open' | 'refused' | 'silent';
 
 /** Options of {@linkcode probeAddress}. */
 export type ProbeAddressOptions = {
-	/** Milliseconds to wait for an answer. */
+	/** How long to wait for a response, in milliseconds. */
 	readonly timeout: number;
 };
 
 /**
- * Opens a connection and closes it again. A machine whose process has ended
- * refuses it; one that is cut off or without power keeps silent.
+ * Opens a connection and closes it again. A host whose process has exited
+ * refuses the connection; a host that is disconnected or powered off does not
+ * respond.
  *
  * @example
  * ```ts
  * await probeAddress('10.1.0.15:8242', {timeout: 100}); // 'refused'
  * ```
  *
- * @param address IP number and port
- * @param options How long to wait
- * @returns What the address does
+ * @param address IP address and port
+ * @param options The timeout
+ * @returns Whether the connection was accepted, refused or not answered
  */
 export async function probeAddress(address: string, {timeout}: ProbeAddressOptions): Promise<ProbeVerdict> {
 	const {hostname, port} = new URL(`http://${address}`);
@@ -43,7 +44,7 @@
 			});
 		});
 	} finally {
-		// What comes after the verdict says nothing more.
+		// Errors after the result are irrelevant, but without a listener they would terminate the process.
 		socket.on('error', () => undefined);
 		socket.destroy();
 	}
--- a/src/transport/service-client.ts
+++ b/src/transport/service-client.ts
@@ -1,5 +1,5 @@
 /**
- * Client of a plain service, some of whose calls may not be repeated.
+ * HTTP client of a plain service, some of whose calls may not be repeated.
  *
  * @module
  */
@@ -9,10 +9,10 @@
 	Err, Ok, createFailure, type Failure, type Result,
 } from '../protocol/mod.js';
 
-/** A service's whole answer. */
-export type ServiceAnswer = {readonly status: number; readonly body: Uint8Array};
+/** The complete response of a service. */
+export type ServiceResponse = {readonly status: number; readonly body: Uint8Array};
 
-/** A call of a service. */
+/** A call to a service. */
 export type ServiceCall = {
 	readonly service: string;
 	readonly body: Uint8Array;
@@ -20,62 +20,62 @@
 	readonly timeout: number;
 };
 
-/** Client of one plain service host. */
+/** Client of a plain service on one host. */
 export type ServiceClient = {
-	readonly call: (call: ServiceCall) => Promise<Result<ServiceAnswer, Failure>>;
+	readonly call: (call: ServiceCall) => Promise<Result<ServiceResponse, Failure>>;
 	readonly isAlive: () => Promise<boolean>;
 	readonly close: () => Promise<void>;
 };
 
-const connectTimeout = 2000;
+const connectTimeoutMs = 2000;
 const okStatus = 200;
-const neverSent: ReadonlySet<string> = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
+const unsentErrorCodes: ReadonlySet<string> = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 
 /** @internal */
-function explainCall(error: unknown, call: ServiceCall): Failure {
+function createCallFailure(error: unknown, call: ServiceCall): Failure {
 	const {code, message} = error as {code?: string; message: string};
-	// Only an error from before the connection stood proves that the service saw nothing.
-	if (neverSent.has(code ?? '')) {
-		return createFailure('no-upstream', `Service "${call.service}" cannot be reached: ${message}`, {retryAfterMs: 1000});
+	// Only an error while connecting proves that the service has received nothing.
+	if (unsentErrorCodes.has(code ?? '')) {
+		return createFailure('no-upstream', `Service "${call.service}" is unreachable: ${message}`, {retryAfterMs: 1000});
 	}
 
-	return createFailure('outcome-unknown', `The connection to service "${call.service}" broke before its answer: ${message}`, {ran: 'unknown'});
+	return createFailure('outcome-unknown', `The connection to service "${call.service}" failed before the response was complete: ${message}`, {ran: 'unknown'});
 }
 
 /**
- * Creates a client of a plain service host.
+ * Creates a client for a plain service on one host.
  *
- * Every call opens a connection of its own: on a kept connection that the
- * service is just closing, a failed write does not tell whether the call ran.
+ * Every call opens a new connection: if the service closes a reused connection
+ * while a request is being written, it is unknown whether the call ran.
  *
  * @example
  * ```ts
- * const answer = await createServiceClient('http://127.0.0.1:8100').call({service: 'slots', body, timeout: 5000});
+ * const response = await createServiceClient('http://127.0.0.1:8100').call({service: 'slots', body, timeout: 5000});
  * ```
  *
- * @param url The service's address
+ * @param url URL of the service
  * @returns The client
  */
 export function createServiceClient(url: string): ServiceClient {
-	const dispatcher = new Agent({pipelining: 0, connect: {timeout: connectTimeout}});
+	const dispatcher = new Agent({pipelining: 0, connect: {timeout: connectTimeoutMs}});
 	return {
 		async call(call) {
 			try {
-				const answer = await request(`${url}/v1/services/${call.service}`, {
+				const response = await request(`${url}/v1/services/${call.service}`, {
 					method: 'POST', dispatcher, body: Buffer.from(call.body), signal: AbortSignal.timeout(Math.ceil(call.timeout)),
 					headers: {'content-type': 'application/json'},
 				});
-				return Ok({status: answer.statusCode, body: new Uint8Array(await answer.body.arrayBuffer())});
+				return Ok({status: response.statusCode, body: new Uint8Array(await response.body.arrayBuffer())});
 			} catch (error) {
-				return Err(explainCall(error, call));
+				return Err(createCallFailure(error, call));
 			}
 		},
 
 		async isAlive() {
 			try {
-				const answer = await request(`${url}/healthz`, {dispatcher, signal: AbortSignal.timeout(connectTimeout)});
-				await answer.body.dump();
-				return answer.statusCode === okStatus;
+				const response = await request(`${url}/healthz`, {dispatcher, signal: AbortSignal.timeout(connectTimeoutMs)});
+				await response.body.dump();
+				return response.statusCode === okStatus;
 			} catch {
 				return false;
 			}
--- a/src/transport/upstream-client.test.ts
+++ b/src/transport/upstream-client.test.ts
@@ -14,7 +14,7 @@
 	}
 });
 
-/** Serves each connection's first request by the function given. */
+/** Starts a server that calls `answer` for the first request on each connection. */
 async function serve(answer: (socket: Socket) => void): Promise<string> {
 	const server = createServer(socket => {
 		socket.on('error', () => undefined);
@@ -28,94 +28,97 @@
 	return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-function buildCall(address: string, isAlone: boolean): UpstreamCall {
+function buildCall(address: string, shouldUseNewConnection: boolean): UpstreamCall {
 	return {
-		address, method: 'GET', path: '/', headers: [], body: undefined, signal: new AbortController().signal, isAlone, isStillWanted: () => true,
+		address, method: 'GET', path: '/', headers: [], body: undefined, signal: new AbortController().signal, isAlone: shouldUseNewConnection, isStillWanted: () => true,
 	};
 }
 
-async function readText(answer: Awaited<ReturnType<UpstreamClient['call']>>): Promise<string> {
+async function readText(result: Awaited<ReturnType<UpstreamClient['call']>>): Promise<string> {
 	let text = '';
-	for await (const chunk of answer.unwrap().chunks) {
+	for await (const chunk of result.unwrap().chunks) {
 		text += new TextDecoder().decode(chunk);
 	}
 
 	return text;
 }
 
-async function readBody(address: string, isAlone: boolean): Promise<string> {
+async function readBody(address: string, shouldUseNewConnection: boolean): Promise<string> {
 	const client = createUpstreamClient({connectTimeout: 500, connections: 2});
 	closers.push(() => {
 		void client.close();
 	});
-	return readText(await client.call(buildCall(address, isAlone)));
+	return readText(await client.call(buildCall(address, shouldUseNewConnection)));
 }
 
-const lengthless = 'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf';
+const responseWithoutLength = 'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf';
 
-test.each([true, false])('a lengthless answer whose connection is reset is not whole, alone %s', async isAlone => {
-	// A caller takes half an answer for the whole: the engine crashed in an
-	// answer without a length, and undici takes a reset there for its end.
+test.each([true, false])('a response without length whose connection is reset is incomplete, new connection %s', async shouldUseNewConnection => {
+	// An engine crashes during a response without length. undici treats the reset
+	// as the end of the response, so the caller takes half of it for the whole.
 	const address = await serve(socket => {
-		socket.write(lengthless, () => {
+		socket.write(responseWithoutLength, () => {
 			setTimeout(() => {
 				socket.resetAndDestroy();
 			}, 20);
 		});
 	});
-	await expect(readBody(address, isAlone)).rejects.toThrow('reset');
+	await expect(readBody(address, shouldUseNewConnection)).rejects.toThrow('reset');
 });
 
-test.each([true, false])('a reset that arrives together with the last bytes is no end, alone %s', async isAlone => {
-	// As above, but the gateway is busy: bytes and reset wait together, and the
-	// event loop reports the end of the stream and no error.
+test.each([true, false])('a reset received together with the last bytes is detected, new connection %s', async shouldUseNewConnection => {
+	// As above, but the gateway is busy: it receives the last bytes and the reset
+	// together, and Node.js reports the end of the stream and no error.
 	const address = await serve(socket => {
-		socket.write(lengthless, () => {
+		socket.write(responseWithoutLength, () => {
 			socket.resetAndDestroy();
 		});
 	});
-	await expect(readBody(address, isAlone)).rejects.toThrow('reset');
+	await expect(readBody(address, shouldUseNewConnection)).rejects.toThrow('reset');
 });
 
-test.each([true, false])('a lengthless answer that ends in order is whole, alone %s', async isAlone => {
+test.each([true, false])('a response without length that ends normally is complete, new connection %s', async shouldUseNewConnection => {
 	const address = await serve(socket => {
-		socket.end(lengthless);
+		socket.end(responseWithoutLength);
 	});
-	await expect(readBody(address, isAlone)).resolves.toBe('half');
+	await expect(readBody(address, shouldUseNewConnection)).resolves.toBe('half');
 });
 
-test('a torn answer with a length is not whole', async () => {
+test('a truncated response with a length is incomplete', async () => {
 	const address = await serve(socket => {
 		socket.end('HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf');
 	});
 	await expect(readBody(address, true)).rejects.toThrow();
 });
 
-test('a connection that is refused has carried nothing', async () => {
+test('a call whose connection is refused is reported as unsent', async () => {
 	const address = await serve(() => undefined);
 	for (const close of closers.splice(0)) {
 		close();
 	}
 
 	const client = createUpstreamClient({connectTimeout: 500, connections: 2});
-	const answer = await client.call(buildCall(address, false));
-	expect(answer.err && answer.val.kind).toBe('unsent');
+	const result = await client.call(buildCall(address, false));
+	expect(result.err && result.val.kind).toBe('unsent');
 	await client.close();
 });
 
-test('a connection that closes after the request leaves the outcome open', async () => {
+test('a call whose connection closes after the request is reported as broken', async () => {
 	const address = await serve(socket => {
 		socket.destroy();
 	});
 	const client = createUpstreamClient({connectTimeout: 500, connections: 2});
-	const answer = await client.call(buildCall(address, true));
-	expect(answer.err && answer.val.kind).toBe('broken');
+	const result = await client.call(buildCall(address, true));
+	expect(result.err && result.val.kind).toBe('broken');
 	await client.close();
 });
 
-const whole = 'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok';
+const completeResponse = 'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok';
 
-/** A client whose only connection to an upstream is held by a first call until `release` is called, and what came on it. */
+/**
+ * Creates a client whose only connection to an upstream is occupied by a first call until `release` is called, and records
+ * the requests that the upstream receives.
+ */
 async function keepConnectionBusy() {
 	const requests: string[] = [];
 	let release: () => void = () => undefined;
@@ -123,7 +126,7 @@
 		socket.on('error', () => undefined);
 		socket.on('data', data => {
 			requests.push(String(data));
-			release = () => socket.write(whole);
+			release = () => socket.write(completeResponse);
 		});
 	});
 	server.listen(0, '127.0.0.1');
@@ -143,28 +146,28 @@
 	};
 }
 
-test('a call that is no longer wanted when a connection is free is not sent', async () => {
-	// A caller's request reaches an engine that left seconds ago: all connections
-	// to it were taken, and the request waited for one on a choice made before.
+test('a call that is no longer wanted when a connection becomes available is not sent', async () => {
+	// All connections to an engine are in use, and a request waits for one. The
+	// engine leaves the fleet in the meantime but still receives the request.
 	const {client, address, requests, first, release} = await keepConnectionBusy();
 	let isListed = true;
 	const second = client.call({...buildCall(address, false), isStillWanted: () => isListed});
 	isListed = false;
 	release();
 	await readText(await first);
-	const answer = await second;
-	expect(answer.err && answer.val.kind).toBe('unsent');
+	const result = await second;
+	expect(result.err && result.val.kind).toBe('unsent');
 	expect(requests.length).toBe(1);
 });
 
-test('a call that is given up while it waits for a connection ends at once', async () => {
-	// A caller whose time limit has passed gets no answer: its request waits for
-	// a connection to an engine that is busy for seconds.
+test('a call that is aborted while it waits for a connection ends at once', async () => {
+	// A request waits for a connection to an engine that is busy for seconds. If
+	// aborting it has no effect, the caller gets no response when its deadline passes.
 	const {client, address, requests} = await keepConnectionBusy();
 	const giveUp = new AbortController();
 	const second = client.call({...buildCall(address, false), signal: giveUp.signal});
 	giveUp.abort();
-	const answer = await Promise.race([second, wait(200, undefined)]);
-	expect(answer?.err && answer.val.kind).toBe('unsent');
+	const result = await Promise.race([second, wait(200, undefined)]);
+	expect(result?.err && result.val.kind).toBe('unsent');
 	expect(requests.length).toBe(1);
 });
--- a/src/transport/upstream-client.ts
+++ b/src/transport/upstream-client.ts
@@ -1,5 +1,5 @@
 /**
- * Client of upstreams that are reached directly over HTTP.
+ * HTTP client for calling upstreams directly.
  *
  * @module
  */
@@ -15,36 +15,36 @@
 
 /** A request to one upstream. */
 export type UpstreamCall = {
-	/** IP number and port. */
+	/** IP address and port. */
 	readonly address: string;
 	readonly method: string;
-	/** Path with query. */
+	/** Path, including the query string. */
 	readonly path: string;
 	readonly headers: string[];
 	readonly body: Uint8Array | undefined;
-	/** Gives the call up. */
+	/** Aborts the call. */
 	readonly signal: AbortSignal;
-	/** Use a connection that carried nothing before; for requests that may not be repeated. */
+	/** Opens a new connection for this call; for requests that may not be repeated. */
 	readonly isAlone: boolean;
-	/** Asked when a connection is there, which may be seconds after the call; false gives the call up unsent. */
+	/** Checked once a connection is available, possibly seconds after the call; false aborts the call unsent. */
 	readonly isStillWanted: () => boolean;
 };
 
-/** Why a call brought no answer: nothing was sent, or the upstream may have run it. */
+/** Why a call got no response: `unsent` if nothing was sent, `broken` if the upstream may have run the request. */
 export type CallFailure = {readonly kind: 'unsent' | 'broken'; readonly detail: string};
 
-/** An answer whose head has arrived. */
+/** A response whose headers have arrived. */
 export type UpstreamAnswer = {
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
 	readonly rawHeaders: RawHeaders;
-	/** The body's chunks; throws when the upstream breaks off. */
+	/** The body's chunks; throws if the response is cut short. */
 	readonly chunks: AsyncIterableIterator<Uint8Array>;
-	/** Gives the rest up and closes the connection. */
+	/** Discards the rest of the body and closes the connection. */
 	readonly abandon: () => void;
 };
 
-/** Calls upstreams. */
+/** HTTP client for upstreams. */
 export type UpstreamClient = {
 	readonly call: (call: UpstreamCall) => Promise<Result<UpstreamAnswer, CallFailure>>;
 	readonly close: () => Promise<void>;
@@ -52,24 +52,24 @@
 
 /** Options of {@linkcode createUpstreamClient}. */
 export type CreateUpstreamClientOptions = {
-	/** Milliseconds for a new connection; a dark upstream answers no opening packet. */
+	/** Time limit in milliseconds for opening a connection; an unreachable upstream does not answer the SYN packet. */
 	readonly connectTimeout: number;
-	/** Connections kept to one upstream. */
+	/** Maximum number of connections to one upstream; calls that open their own connection are not counted. */
 	readonly connections: number;
 };
 
-/** Bytes that wait for a slow reader before the upstream is paused. */
-const pauseAbove = 65_536;
+/** The upstream is paused while more than this many bytes are buffered for a slow reader. */
+const maxBufferedBytes = 65_536;
 
-/** @internal */
+/** @internal Buffers the chunks of a body between undici, which pushes them, and their reader. */
 function createChunkQueue(controller: Dispatcher.DispatchController) {
 	const chunks: Uint8Array[] = [];
-	let size = 0;
+	let bufferedBytes = 0;
 	let hasEnded = false;
 	let failure: Error | undefined;
 	let wake: () => void = () => undefined;
 
-	async function waitForNews(): Promise<void> {
+	async function waitForChange(): Promise<void> {
 		return new Promise(resolve => {
 			wake = resolve;
 		});
@@ -78,8 +78,8 @@
 	return {
 		push(chunk: Uint8Array): void {
 			chunks.push(chunk);
-			size += chunk.length;
-			if (size > pauseAbove) {
+			bufferedBytes += chunk.length;
+			if (bufferedBytes > maxBufferedBytes) {
 				controller.pause();
 			}
 
@@ -94,8 +94,8 @@
 			for (;;) {
 				const chunk = chunks.shift();
 				if (chunk) {
-					size -= chunk.length;
-					if (controller.paused && size <= pauseAbove) {
+					bufferedBytes -= chunk.length;
+					if (controller.paused && bufferedBytes <= maxBufferedBytes) {
 						controller.resume();
 					}
 
@@ -105,7 +105,7 @@
 				} else if (hasEnded) {
 					return;
 				} else {
-					await waitForNews();
+					await waitForChange();
 				}
 			}
 		},
@@ -113,25 +113,27 @@
 }
 
 /**
- * @internal Tells the end of an answer without a length from a reset, which a
- * caller must not take for a whole answer. It shows in two ways. undici takes
- * the reset, an error of the socket, for the end; and the event loop reports
- * an end and no error when bytes and reset have waited together. These
- * listeners come before undici's: they note the error within its event, and
- * after an end they write. A connection that was reset refuses the write at
- * once; one that the upstream has closed takes it.
+ * @internal Distinguishes the end of a response without `content-length` from a
+ * connection reset, so that a truncated response is not passed on as complete.
+ *
+ * A reset can look like a normal end in two ways: undici treats the socket's
+ * `error` event as the end of such a response, and Node.js emits `end` without
+ * an error if the last bytes and the reset are received together. The listeners
+ * added here run before undici's. On `error` they record a reset; on `end` they
+ * write to the socket, which fails at once if the connection was reset and
+ * succeeds if the upstream closed it normally.
  */
-function createResetWatch() {
-	const verdicts = new Map<string, Promise<boolean>>();
+function createResetDetector() {
+	const resetVerdicts = new Map<string, Promise<boolean>>();
 
-	function note(address: string, verdict: Promise<boolean>): void {
-		verdicts.set(address, verdict);
+	function recordVerdict(address: string, wasReset: Promise<boolean>): void {
+		resetVerdicts.set(address, wasReset);
 		queueMicrotask(() => {
-			verdicts.delete(address);
+			resetVerdicts.delete(address);
 		});
 	}
 
-	async function probe(socket: Socket): Promise<boolean> {
+	async function probeByWrite(socket: Socket): Promise<boolean> {
 		return new Promise(resolve => {
 			socket.write('\r\n', error => {
 				resolve(error instanceof Error);
@@ -140,17 +142,17 @@
 	}
 
 	return {
-		/** To be asked within the event that ended an answer: whether its connection was reset. */
-		wasReset: async (address: string): Promise<boolean> => verdicts.get(address) ?? false,
+		/** Returns whether the connection was reset; valid only within the event that ended the response. */
+		wasReset: async (address: string): Promise<boolean> => resetVerdicts.get(address) ?? false,
 		watch: (connector: buildConnector.connector): buildConnector.connector => (options, callback) => {
 			connector(options, (...result) => {
 				const [, socket] = result;
 				const address = `${options.hostname}:${options.port}`;
 				socket?.on('error', () => {
-					note(address, Promise.resolve(true));
+					recordVerdict(address, Promise.resolve(true));
 				});
 				socket?.on('end', () => {
-					note(address, probe(socket));
+					recordVerdict(address, probeByWrite(socket));
 				});
 				callback(...result);
 			});
@@ -158,62 +160,63 @@
 	};
 }
 
-/** @internal */
+/** @internal Decodes alternating header names and values. */
 function listRawHeaders(raw: unknown): string[] {
 	return Array.isArray(raw) ? raw.map(item => Buffer.from(item as Uint8Array).toString('latin1')) : [];
 }
 
 /**
- * Creates a client of upstreams.
+ * Creates an HTTP client for upstreams.
  *
  * @example
  * ```ts
  * const client = createUpstreamClient({connectTimeout: 400, connections: 64});
- * const answer = await client.call({address: '127.0.0.1:8080', method: 'GET', path: '/', headers: [], body: undefined, signal, isAlone: false, isStillWanted: () => true});
+ * const response = await client.call({address: '127.0.0.1:8080', method: 'GET', path: '/', headers: [], body: undefined, signal, isAlone: false, isStillWanted: () => true});
  * ```
  *
- * @param options Bounds on connections
+ * @param options Limits on connections
  * @returns The client
  */
 export function createUpstreamClient(options: CreateUpstreamClientOptions): UpstreamClient {
-	const resets = createResetWatch();
-	const connect = resets.watch(buildConnector({timeout: options.connectTimeout, allowHalfOpen: true}));
-	// Time bounds are the caller's own, by its signal.
-	const shared = {
+	const resetDetector = createResetDetector();
+	const connect = resetDetector.watch(buildConnector({timeout: options.connectTimeout, allowHalfOpen: true}));
+	// The response timeouts of undici are disabled: each call is limited by its own signal.
+	const clientOptions = {
 		connect, pipelining: 1, headersTimeout: 0, bodyTimeout: 0,
 	};
-	const agent = new Agent({...shared, connections: options.connections});
+	const agent = new Agent({...clientOptions, connections: options.connections});
 
 	async function dispatch(dispatcher: Dispatcher, call: UpstreamCall, onClosed: () => void): Promise<Result<UpstreamAnswer, CallFailure>> {
 		return new Promise(resolve => {
 			let controller: Dispatcher.DispatchController | undefined;
 			let queue: ReturnType<typeof createChunkQueue> | undefined;
-			const abandon = () => {
+			const abortCall = () => {
 				if (controller) {
-					controller.abort(new Error('The call was given up'));
+					controller.abort(new Error('The call was aborted'));
 				} else {
-					// It waits for a connection and is not written once it gets one; nobody need wait for that.
-					resolve(Err({kind: 'unsent', detail: 'The call was given up before it was sent'}));
+					// The request is still queued for a connection and will not be written when it gets one, so the call can
+					// end now.
+					resolve(Err({kind: 'unsent', detail: 'The call was aborted before it was sent'}));
 				}
 			};
 
 			const finish = () => {
-				call.signal.removeEventListener('abort', abandon);
+				call.signal.removeEventListener('abort', abortCall);
 				onClosed();
 			};
 
-			const endQueue = async (verdict: Promise<boolean>) => {
-				const wasReset = await verdict;
-				queue?.end(wasReset ? new Error('The connection was reset in an answer without a length') : undefined);
+			const endQueue = async (pendingVerdict: Promise<boolean>) => {
+				const wasReset = await pendingVerdict;
+				queue?.end(wasReset ? new Error('The connection was reset during a response without content-length') : undefined);
 				finish();
 			};
 
 			const handler: Dispatcher.DispatchHandler = {
 				onRequestStart(started) {
-					// Nothing has been written yet, and a request that waited for its connection was sent here on what was known
-					// when it began to wait: its upstream may have left since.
+					// Nothing has been written yet. The upstream was selected before the request queued for a connection, and may
+					// have left the fleet since.
 					if (call.signal.aborted || !call.isStillWanted()) {
-						started.abort(new Error('The call was given up before it was sent'));
+						started.abort(new Error('The call was aborted before it was sent'));
 						return;
 					}
 
@@ -222,23 +225,23 @@
 				onResponseStart(started, status, headers) {
 					queue = createChunkQueue(started);
 					resolve(Ok({
-						status, headers, rawHeaders: listRawHeaders(started.rawHeaders), chunks: queue.read(), abandon,
+						status, headers, rawHeaders: listRawHeaders(started.rawHeaders), chunks: queue.read(), abandon: abortCall,
 					}));
 				},
 				onResponseData(_started, chunk) {
 					queue?.push(chunk);
 				},
 				onResponseEnd() {
-					void endQueue(resets.wasReset(call.address));
+					void endQueue(resetDetector.wasReset(call.address));
 				},
 				onResponseError(_started, error) {
 					queue?.end(error);
-					// A request that waits for a connection has not been written: it has not run and never will.
+					// Without a controller the request was never written, so the upstream cannot have run it.
 					resolve(Err({kind: controller ? 'broken' : 'unsent', detail: error.message}));
 					finish();
 				},
 			};
-			call.signal.addEventListener('abort', abandon);
+			call.signal.addEventListener('abort', abortCall);
 			dispatcher.dispatch({
 				origin: `http://${call.address}`, method: call.method, path: call.path, headers: call.headers, body: call.body, reset: call.isAlone,
 			}, handler);
@@ -251,9 +254,10 @@
 				return dispatch(agent, call, () => undefined);
 			}
 
-			// A kept connection can be closed by the upstream as the request is written, or still bring an answer to an
-			// earlier request. Either leaves the outcome unknown, and a request that may not be repeated is then lost.
-			const client = new Client(`http://${call.address}`, shared);
+			// An upstream can close a reused connection while the request is being written, or send a late response to an
+			// earlier request on it. In both cases the outcome is unknown and the request may not be repeated, so such a call
+			// gets its own connection.
+			const client = new Client(`http://${call.address}`, clientOptions);
 			return dispatch(client, call, () => {
 				void client.destroy();
 			});
