--- a/src/cli.ts
+++ b/src/cli.ts
@@ -1,6 +1,7 @@
 #!/usr/bin/env node
 /**
- * `fireflylane`: the operators' command line. It talks to any entry daemon.
+ * `fireflylane`: the operators' command line. Most commands send requests to
+ * one entry daemon; `explain` and `losses` read log files instead.
  *
  * Exit codes are those of docs/ERRORS.md: 0 for success, 1 for wrong usage.
  *
--- a/src/cli/inspect-commands.ts
+++ b/src/cli/inspect-commands.ts
@@ -1,64 +1,65 @@
 /**
- * Commands that look and change nothing.
+ * Commands that only read: `status`, `budget`, `upstream`, `host`, `request`
+ * and `metrics`.
  *
  * @module
  */
 import {
 	command, positional, string, subcommands,
 } from 'cmd-ts';
-import {askDaemon} from './operator-client.js';
+import {sendOperatorRequest} from './operator-client.js';
 import {printResult} from './print.js';
 import {formatTable, type Cell, type TableRow} from './table.js';
 import {buildTarget, targetOptions} from './target.js';
 
-type Document = Record<string, unknown>;
+type JsonObject = Record<string, unknown>;
 
-type ListCommand = {
+type ListCommandOptions = {
 	readonly name: string;
 	readonly description: string;
 	readonly path: string;
-	/** The member that holds the rows. */
-	readonly member: string;
+	/** The field of the response that holds the rows. */
+	readonly rowsField: string;
 	readonly columns: readonly string[];
 };
 
 /** @internal */
-function pickColumns(row: Document, columns: readonly string[]): TableRow {
-	return Object.fromEntries(columns.map(column => [column, pickCell(row[column])]));
+function pickColumns(row: JsonObject, columns: readonly string[]): TableRow {
+	return Object.fromEntries(columns.map(column => [column, formatCell(row[column])]));
 }
 
 /** @internal */
-function pickCell(value: unknown): Cell {
+function formatCell(value: unknown): Cell {
 	return typeof value === 'object' && value !== null ? JSON.stringify(value) : value as Cell;
 }
 
 /** @internal */
-function formatDocument(document: Document): string {
-	return formatTable(Object.entries(document).map(([member, value]) => ({member, value: pickCell(value)})));
+function formatObject(object: JsonObject): string {
+	return formatTable(Object.entries(object).map(([field, value]) => ({member: field, value: formatCell(value)})));
 }
 
 /** @internal */
-function createListCommand(list: ListCommand) {
+function createListCommand(options: ListCommandOptions) {
 	return command({
-		name: list.name,
-		description: list.description,
+		name: options.name,
+		description: options.description,
 		args: targetOptions,
-		async handler(given) {
-			const answer = await askDaemon<Record<string, Document[]>>(buildTarget(given), list.path);
-			printResult(answer, {json: given.json, format: document => formatTable((document[list.member] ?? []).map(row => pickColumns(row, list.columns)))});
+		async handler(args) {
+			const result = await sendOperatorRequest<Record<string, JsonObject[]>>(buildTarget(args), options.path);
+			printResult(result, {json: args.json, format: document => formatTable((document[options.rowsField] ?? []).map(row => pickColumns(row, options.columns)))});
 		},
 	});
 }
 
 /** @internal */
-function createShowCommand(options: {readonly description: string; readonly what: string; readonly path: string}) {
+function createShowCommand(options: {readonly description: string; readonly argumentName: string; readonly path: string}) {
 	return command({
 		name: 'show',
 		description: options.description,
-		args: {...targetOptions, id: positional({type: string, displayName: options.what})},
-		async handler(given) {
-			const answer = await askDaemon<Document>(buildTarget(given), `${options.path}/${encodeURIComponent(given.id)}`);
-			printResult(answer, {json: given.json, format: formatDocument});
+		args: {...targetOptions, id: positional({type: string, displayName: options.argumentName})},
+		async handler(args) {
+			const result = await sendOperatorRequest<JsonObject>(buildTarget(args), `${options.path}/${encodeURIComponent(args.id)}`);
+			printResult(result, {json: args.json, format: formatObject});
 		},
 	});
 }
@@ -66,33 +67,33 @@
 /** `fireflylane status` */
 export const statusCommand = command({
 	name: 'status',
-	description: 'Show the daemon that was asked: version, log, running requests',
+	description: 'Show the status of the daemon at --url: version, log, running requests',
 	args: targetOptions,
-	async handler(given) {
-		printResult(await askDaemon<Document>(buildTarget(given), '/v1/status'), {json: given.json, format: formatDocument});
+	async handler(args) {
+		printResult(await sendOperatorRequest<JsonObject>(buildTarget(args), '/v1/status'), {json: args.json, format: formatObject});
 	},
 });
 
 /** `fireflylane budget` */
 export const budgetCommand = subcommands({
 	name: 'budget',
-	description: 'Look at prepaid budgets',
+	description: 'Inspect prepaid budgets',
 	cmds: {
 		list: createListCommand({
-			name: 'list', description: 'List budgets; all amounts in tokens', path: '/v1/budgets', member: 'budgets',
+			name: 'list', description: 'List budgets, with amounts in tokens', path: '/v1/budgets', rowsField: 'budgets',
 			columns: ['id', 'customer', 'weighs', 'bought', 'billed', 'burnt', 'granted', 'remaining', 'locked'],
 		}),
-		show: createShowCommand({description: 'Show one budget', what: 'BUDGET', path: '/v1/budgets'}),
+		show: createShowCommand({description: 'Show one budget', argumentName: 'BUDGET', path: '/v1/budgets'}),
 	},
 });
 
 /** `fireflylane upstream` */
 export const upstreamCommand = subcommands({
 	name: 'upstream',
-	description: 'Look at upstream daemons',
+	description: 'Inspect upstream daemons',
 	cmds: {
 		list: createListCommand({
-			name: 'list', description: 'List upstream daemons', path: '/v1/upstreams', member: 'upstreams',
+			name: 'list', description: 'List upstream daemons', path: '/v1/upstreams', rowsField: 'upstreams',
 			columns: ['daemon', 'work', 'serves', 'failureDomain', 'isAlive', 'isLeaving', 'version', 'load'],
 		}),
 	},
@@ -101,10 +102,10 @@
 /** `fireflylane host` */
 export const hostCommand = subcommands({
 	name: 'host',
-	description: 'Look at daemons and their hosts',
+	description: 'Inspect daemons and their hosts',
 	cmds: {
 		list: createListCommand({
-			name: 'list', description: 'List daemons', path: '/v1/hosts', member: 'hosts',
+			name: 'list', description: 'List daemons', path: '/v1/hosts', rowsField: 'hosts',
 			columns: ['daemon', 'role', 'failureDomain', 'address', 'isAlive', 'isLeaving', 'version'],
 		}),
 	},
@@ -113,22 +114,22 @@
 /** `fireflylane request` */
 export const requestCommand = subcommands({
 	name: 'request',
-	description: 'Look at what the log knows of a request',
-	cmds: {show: createShowCommand({description: 'Show the bill and the executor of a request', what: 'REQUEST', path: '/v1/requests'})},
+	description: 'Inspect what the log holds about a request',
+	cmds: {show: createShowCommand({description: 'Show the bill and the executor of a request', argumentName: 'REQUEST', path: '/v1/requests'})},
 });
 
 /** `fireflylane metrics` */
 export const metricsCommand = command({
 	name: 'metrics',
-	description: 'Show histograms for each customer and class of one daemon, in milliseconds',
+	description: 'Show request counts and latency percentiles, in milliseconds, of one daemon for each customer and class',
 	args: targetOptions,
-	async handler(given) {
-		const answer = await askDaemon<{rows: Array<Document & {first: Document; total: Document; gap: Document}>}>(buildTarget(given), '/v1/metrics');
-		printResult(answer, {
-			json: given.json,
+	async handler(args) {
+		const result = await sendOperatorRequest<{rows: Array<JsonObject & {first: JsonObject; total: JsonObject; gap: JsonObject}>}>(buildTarget(args), '/v1/metrics');
+		printResult(result, {
+			json: args.json,
 			format: document => formatTable(document.rows.map(row => ({
-				customer: pickCell(row.customer), class: pickCell(row.class), served: pickCell(row.served), tokens: pickCell(row.tokens), refused: pickCell(row.refused),
-				firstP50: pickCell(row.first.p50), firstP95: pickCell(row.first.p95), firstP99: pickCell(row.first.p99), totalP99: pickCell(row.total.p99), gapP99: pickCell(row.gap.p99),
+				customer: formatCell(row.customer), class: formatCell(row.class), served: formatCell(row.served), tokens: formatCell(row.tokens), refused: formatCell(row.refused),
+				firstP50: formatCell(row.first.p50), firstP95: formatCell(row.first.p95), firstP99: formatCell(row.first.p99), totalP99: formatCell(row.total.p99), gapP99: formatCell(row.gap.p99),
 			}))),
 		});
 	},
--- a/src/cli/intent-commands.ts
+++ b/src/cli/intent-commands.ts
@@ -1,5 +1,5 @@
 /**
- * Commands that plan and confirm changes.
+ * Commands that plan and confirm changes, and `fireflylane key`.
  *
  * @module
  */
@@ -13,12 +13,12 @@
 import {
 	Err, Ok, computeDigest, createFailure, intentSchema, type Failure, type Intent, type Result,
 } from '../protocol/mod.js';
-import {askDaemon} from './operator-client.js';
+import {sendOperatorRequest} from './operator-client.js';
 import {printResult} from './print.js';
 import {formatTable} from './table.js';
 import {buildTarget, targetOptions} from './target.js';
 
-/** A plan as the daemon sends it. */
+/** A plan as sent by the daemon. */
 type PlanDocument = {
 	readonly plan: string;
 	readonly state: string;
@@ -30,15 +30,15 @@
 	readonly differences: ReadonlyArray<{readonly what: string; readonly before?: unknown; readonly after?: unknown; readonly effect: string}>;
 };
 
-const watchPause = 300;
-const watchBound = 60_000;
+const pollIntervalMs = 300;
+const watchTimeoutMs = 60_000;
 
 /** @internal */
 function formatPlan(plan: PlanDocument): string {
-	const head = formatTable([{
+	const summary = formatTable([{
 		plan: plan.plan, state: plan.state, basis: plan.basis, version: plan.version, inForceAt: plan.inForceAt, liveDaemons: plan.liveDaemons,
 	}]);
-	const rows = plan.differences.map(difference => ({
+	const differenceRows = plan.differences.map(difference => ({
 		what: difference.what,
 		before: difference.before === undefined ? '-' : JSON.stringify(difference.before),
 		after: difference.after === undefined ? '-' : JSON.stringify(difference.after),
@@ -46,19 +46,19 @@
 	}));
 	const reason = plan.reason === undefined ? '' : `\n${plan.reason}`;
 	const hint = plan.state === 'open' ? `\n\nNothing has changed yet. Confirm with: fireflylane intent confirm ${plan.plan}` : '';
-	return `${head}${reason}\n\n${formatTable(rows)}${hint}`;
+	return `${summary}${reason}\n\n${formatTable(differenceRows)}${hint}`;
 }
 
 /**
- * Reads an intent file.
+ * Reads and validates an intent file.
  *
  * @example
  * ```ts
  * readIntent('intent.yaml');
  * ```
  *
- * @param file YAML
- * @returns The intent, or what is wrong with it
+ * @param file Path of a YAML file
+ * @returns The intent, or a failure that lists what is wrong with the file
  */
 export function readIntent(file: string): Result<Intent, Failure> {
 	try {
@@ -73,38 +73,38 @@
 
 const planCommand = command({
 	name: 'plan',
-	description: 'Show what an intent would change; changes nothing',
+	description: 'Show what an intent would change, without changing anything',
 	args: {
 		...targetOptions, file: option({
-			long: 'file', short: 'f', type: string, description: 'the intent, YAML',
+			long: 'file', short: 'f', type: string, description: 'YAML file with the intent',
 		}),
 	},
-	async handler(given) {
-		const intent = readIntent(given.file);
-		const answer = intent.ok ? await askDaemon<PlanDocument>(buildTarget(given), '/v1/intents', intent.val) : intent;
-		printResult(answer, {json: given.json, format: formatPlan});
+	async handler(args) {
+		const intent = readIntent(args.file);
+		const result = intent.ok ? await sendOperatorRequest<PlanDocument>(buildTarget(args), '/v1/intents', intent.val) : intent;
+		printResult(result, {json: args.json, format: formatPlan});
 	},
 });
 
-const planId = positional({type: string, displayName: 'PLAN'});
+const planArgument = positional({type: string, displayName: 'PLAN'});
 
 const confirmCommand = command({
 	name: 'confirm',
-	description: 'Put a plan in force; may be repeated without a second effect',
-	args: {...targetOptions, plan: planId},
-	async handler(given) {
-		const answer = await askDaemon<PlanDocument>(buildTarget(given), `/v1/intents/${given.plan}/confirm`, {});
-		printResult(answer, {json: given.json, format: formatPlan});
+	description: 'Put a plan in force; repeating the command has no further effect',
+	args: {...targetOptions, plan: planArgument},
+	async handler(args) {
+		const result = await sendOperatorRequest<PlanDocument>(buildTarget(args), `/v1/intents/${args.plan}/confirm`, {});
+		printResult(result, {json: args.json, format: formatPlan});
 	},
 });
 
-const showCommand = command({
+const statusCommand = command({
 	name: 'status',
-	description: 'Show what became of a plan and where it is in force',
-	args: {...targetOptions, plan: planId},
-	async handler(given) {
-		const answer = await askDaemon<PlanDocument>(buildTarget(given), `/v1/intents/${given.plan}`);
-		printResult(answer, {json: given.json, format: formatPlan});
+	description: 'Show the state of a plan and how many live daemons have it in force',
+	args: {...targetOptions, plan: planArgument},
+	async handler(args) {
+		const result = await sendOperatorRequest<PlanDocument>(buildTarget(args), `/v1/intents/${args.plan}`);
+		printResult(result, {json: args.json, format: formatPlan});
 	},
 });
 
@@ -112,10 +112,10 @@
 	name: 'list',
 	description: 'List the latest plans',
 	args: targetOptions,
-	async handler(given) {
-		const answer = await askDaemon<{plans: PlanDocument[]}>(buildTarget(given), '/v1/intents');
-		printResult(answer, {
-			json: given.json,
+	async handler(args) {
+		const result = await sendOperatorRequest<{plans: PlanDocument[]}>(buildTarget(args), '/v1/intents');
+		printResult(result, {
+			json: args.json,
 			format: document => formatTable(document.plans.map(plan => ({
 				plan: plan.plan, state: plan.state, basis: plan.basis, version: plan.version, changes: plan.differences.length,
 			}))),
@@ -125,19 +125,19 @@
 
 const watchCommand = command({
 	name: 'watch',
-	description: 'Wait until a plan is in force at every live daemon',
-	args: {...targetOptions, plan: planId},
-	async handler(given) {
-		const until = Date.now() + watchBound;
+	description: 'Wait until a plan is in force at every live daemon, for up to a minute',
+	args: {...targetOptions, plan: planArgument},
+	async handler(args) {
+		const deadline = Date.now() + watchTimeoutMs;
 		for (;;) {
-			const answer = await askDaemon<PlanDocument>(buildTarget(given), `/v1/intents/${given.plan}`);
-			const isEnded = answer.err || answer.val.state === 'stale' || answer.val.state === 'refused' || (answer.val.version !== undefined && answer.val.inForceAt === answer.val.liveDaemons);
-			if (isEnded || Date.now() > until) {
-				printResult(answer, {json: given.json, format: formatPlan});
+			const result = await sendOperatorRequest<PlanDocument>(buildTarget(args), `/v1/intents/${args.plan}`);
+			const isFinished = result.err || result.val.state === 'stale' || result.val.state === 'refused' || (result.val.version !== undefined && result.val.inForceAt === result.val.liveDaemons);
+			if (isFinished || Date.now() > deadline) {
+				printResult(result, {json: args.json, format: formatPlan});
 				return;
 			}
 
-			await wait(watchPause);
+			await wait(pollIntervalMs);
 		}
 	},
 });
@@ -147,18 +147,18 @@
 	name: 'intent',
 	description: 'Plan and confirm changes',
 	cmds: {
-		plan: planCommand, confirm: confirmCommand, status: showCommand, list: listCommand, watch: watchCommand,
+		plan: planCommand, confirm: confirmCommand, status: statusCommand, list: listCommand, watch: watchCommand,
 	},
 });
 
 /** `fireflylane key` */
 export const keyCommand = subcommands({
 	name: 'key',
-	description: 'Work with callers\' keys',
+	description: 'Work with the keys of callers',
 	cmds: {
 		digest: command({
 			name: 'digest',
-			description: 'Print the digest of a key from the standard input, for an intent',
+			description: 'Read a key from the standard input and print its digest, for use in an intent',
 			args: {},
 			async handler() {
 				const chunks: string[] = [];
--- a/src/cli/log-line.ts
+++ b/src/cli/log-line.ts
@@ -1,12 +1,12 @@
 /**
- * Lines of daemons' logs.
+ * Parses the logs of daemons, which hold one JSON event per line.
  *
  * @module
  */
 
 /** One line of a daemon's log. */
 export type LogLine = {
-	/** Wall clock of the daemon's host, ISO 8601. */
+	/** Wall-clock time of the daemon's host, ISO 8601. */
 	readonly at: string;
 	readonly daemon: string;
 	/** Number of the event, such as `FL1408`. */
@@ -16,8 +16,8 @@
 };
 
 /**
- * Reads a log; what comes before the document on a line is left out, and so
- * are lines without one.
+ * Parses a log. Ignores any text before the JSON object on a line, and skips
+ * lines that hold no event.
  *
  * @example
  * ```ts
@@ -25,25 +25,25 @@
  * ```
  *
  * @param text The log
- * @returns Its lines
+ * @returns The lines that hold an event
  */
 export function parseLog(text: string): LogLine[] {
-	return readLog(text).lines;
+	return parseLogAndCountSkipped(text).lines;
 }
 
 /**
- * Reads a log and counts the lines that hold no event: what a killed process
- * left half written, or what another program wrote.
+ * Parses a log and counts the lines that hold no event: those that a killed
+ * process left incomplete, or that another program wrote.
  *
  * @example
  * ```ts
- * readLog('{"at":"2026-01-31T08:0').skipped; // 1
+ * parseLogAndCountSkipped('{"at":"2026-01-31T08:0').skipped; // 1
  * ```
  *
  * @param text The log
- * @returns Its lines and how many were left out; empty lines count as nothing
+ * @returns The lines that hold an event, and how many were skipped; empty lines are not counted
  */
-export function readLog(text: string): {readonly lines: LogLine[]; readonly skipped: number} {
+export function parseLogAndCountSkipped(text: string): {readonly lines: LogLine[]; readonly skipped: number} {
 	const parsed = text.split('\n').filter(line => line.trim() !== '').map(line => parseLine(line));
 	const lines = parsed.filter(line => line !== undefined);
 	return {lines, skipped: parsed.length - lines.length};
@@ -64,7 +64,7 @@
 				at: String(at), daemon: String(daemon), event: String(event), text: String(text), fields,
 			};
 	} catch {
-		// A process that was killed leaves half a line.
+		// A killed process may leave an incomplete line.
 		return undefined;
 	}
 }
--- a/src/cli/losses-plot.ts
+++ b/src/cli/loss-plot.ts
@@ -1,29 +1,29 @@
 /**
- * A picture of where requests were lost.
+ * Renders a chart of requests by outcome.
  *
  * @module
  */
-import type {Losses} from './losses.js';
+import type {LossReport} from './loss-report.js';
 
-const size = {width: 960, height: 420} as const;
+const sizePx = {width: 960, height: 420} as const;
 
 /**
- * Draws the outcomes of requests over time, stacked, as an SVG document.
+ * Renders the outcomes of requests over time as a stacked bar chart.
  *
  * @example
  * ```ts
- * writeFileSync('losses.svg', await formatLossesPlot(losses));
+ * writeFileSync('losses.svg', await renderLossPlot(report));
  * ```
  *
- * @param losses What the logs say
- * @returns The document
+ * @param report Report built from the logs
+ * @returns An SVG document
  */
-export async function formatLossesPlot({windows, since}: Losses): Promise<string> {
-	// The library is large and only this picture needs it.
+export async function renderLossPlot({windows, since}: LossReport): Promise<string> {
+	// The library is large, so it is loaded only if a chart is requested.
 	const {init} = await import('echarts');
 	const outcomes = [...new Set(windows.flatMap(({outcomes}) => Object.keys(outcomes)))].sort();
 	const chart = init(null, undefined, {
-		...size, renderer: 'svg', ssr: true,
+		...sizePx, renderer: 'svg', ssr: true,
 	});
 	chart.setOption({
 		animation: false,
@@ -35,7 +35,7 @@
 			name, type: 'bar', stack: 'requests', data: windows.map(window => window.outcomes[name] ?? 0),
 		})),
 	});
-	const document = chart.renderToSVGString();
+	const svg = chart.renderToSVGString();
 	chart.dispose();
-	return document;
+	return svg;
 }
--- a/src/cli/losses.test.ts
+++ b/src/cli/loss-report.test.ts
@@ -1,8 +1,8 @@
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
-import {readLog} from './log-line.js';
-import {buildLosses} from './losses.js';
-import {formatLossesPlot} from './losses-plot.js';
+import {parseLogAndCountSkipped} from './log-line.js';
+import {buildLossReport} from './loss-report.js';
+import {renderLossPlot} from './loss-plot.js';
 
 function formatLine(second: string, daemon: string, event: string, fields: Record<string, unknown> = {}): string {
 	return JSON.stringify({
@@ -34,39 +34,40 @@
 ].join('\n');
 
 test('requests are counted by window and outcome', () => {
-	expect(buildLosses(readLog(log).lines).windows).toEqual([
+	expect(buildLossReport(parseLogAndCountSkipped(log).lines).windows).toEqual([
 		{from: 0, outcomes: {served: 1, failed: 2}},
 		{from: 2, outcomes: {refused: 1}},
 	]);
 });
 
-test('reasons that differ in an address are one', () => {
-	expect(buildLosses(readLog(log).lines).reasons[0]).toEqual({
+test('reasons that differ only in an address are counted together', () => {
+	expect(buildLossReport(parseLogAndCountSkipped(log).lines).reasons[0]).toEqual({
 		outcome: 'failed', reason: 'connect ECONNREFUSED #', requests: 2, tokens: 800,
 	});
 });
 
-test('a customer\'s tokens are told apart: counted, not served, left with a dead daemon', () => {
-	// A customer is refused with tokens left on its bill: front-1 was killed
-	// with 2,500 of its grant, front-2 stopped and gave its own back.
-	expect(buildLosses(readLog(log).lines).customers).toEqual([{
+test('a customer\'s tokens are reported as counted, not served and left with a dead daemon', () => {
+	// The customer is refused although its budget is not spent: front-1 was killed
+	// while holding 2,500 tokens of its grant. front-2 stopped in order and released
+	// its grant, so nothing is left with it.
+	expect(buildLossReport(parseLogAndCountSkipped(log).lines).customers).toEqual([{
 		customer: 'city', bought: 10_000, counted: 2000, unserved: 800, leftWithDead: 2500, short: 1,
 	}]);
 });
 
-test('logs that are read in another order tell the same', () => {
-	const daemons = ['front-1', 'front-2'].map(daemon => readLog(log).lines.filter(line => line.daemon === daemon));
-	expect(buildLosses(daemons.flat())).toEqual(buildLosses(daemons.toReversed().flat()));
+test('the report does not depend on the order of the logs', () => {
+	const linesByDaemon = ['front-1', 'front-2'].map(daemon => parseLogAndCountSkipped(log).lines.filter(line => line.daemon === daemon));
+	expect(buildLossReport(linesByDaemon.flat())).toEqual(buildLossReport(linesByDaemon.toReversed().flat()));
 });
 
-test('bad lines are left out and counted, and change no account', () => {
-	const whole = buildLosses(readLog(log).lines);
-	const bad = [
+test('unreadable lines are skipped and counted, and lines with invalid fields change nothing', () => {
+	const expected = buildLossReport(parseLogAndCountSkipped(log).lines);
+	const unreadable = [
 		'{"at":"2026-01-31T08:00:11.000Z","daemon":"fro',
-		'other program\'s words',
+		'other program\'s output',
 		'{"at":"never","daemon":"front-1","event":"FL1408","used":5}',
 	];
-	const forged = [
+	const invalidFields = [
 		formatLine('01.500', 'front-1', 'FL1408', {result: 'failed', customer: 'city', used: -900}),
 		formatLine('01.500', 'front-1', 'FL1408', {result: 'failed', customer: 'city', used: 'many'}),
 		formatLine('01.500', 'front-1', 'FL1201', {granted: '{"city":-1}'}),
@@ -74,26 +75,26 @@
 		formatLine('01.500', 'front-1', 'FL1206', {customer: 7, amount: 5}),
 		formatLine('01.500', 'front-1', 'FL1209', {customer: 'city'}),
 	];
-	const {lines, skipped} = readLog([...bad, log, ...forged].join('\n'));
-	expect(skipped).toBe(bad.length);
-	expect(buildLosses(lines)).toEqual(whole);
+	const {lines, skipped} = parseLogAndCountSkipped([...unreadable, log, ...invalidFields].join('\n'));
+	expect(skipped).toBe(unreadable.length);
+	expect(buildLossReport(lines)).toEqual(expected);
 });
 
-test('any bytes are read without a fault', () => {
+test('any text is parsed without an exception', () => {
 	fc.assert(fc.property(fc.array(fc.oneof(fc.string(), fc.json(), fc.constant(log))), texts => {
-		const {lines} = readLog(texts.join('\n'));
-		expect(buildLosses(lines).windows.length).toBeGreaterThanOrEqual(0);
+		const {lines} = parseLogAndCountSkipped(texts.join('\n'));
+		expect(buildLossReport(lines).windows.length).toBeGreaterThanOrEqual(0);
 	}));
 });
 
-test('the picture shows each outcome', async () => {
-	const document = await formatLossesPlot(buildLosses(readLog(log).lines));
-	expect(document.startsWith('<svg')).toBe(true);
+test('the chart shows each outcome', async () => {
+	const svg = await renderLossPlot(buildLossReport(parseLogAndCountSkipped(log).lines));
+	expect(svg.startsWith('<svg')).toBe(true);
 	for (const outcome of ['served', 'failed', 'refused']) {
-		expect(document).toContain(outcome);
+		expect(svg).toContain(outcome);
 	}
 });
 
-test('an empty log has no losses', () => {
-	expect(buildLosses([])).toMatchObject({windows: [], reasons: [], customers: []});
+test('an empty log gives an empty report', () => {
+	expect(buildLossReport([])).toMatchObject({windows: [], reasons: [], customers: []});
 });
--- a/src/cli/losses-command.ts
+++ b/src/cli/losses-command.ts
@@ -1,5 +1,5 @@
 /**
- * `fireflylane losses`: where callers and budgets lose, from the daemons' logs.
+ * `fireflylane losses`: reports lost requests and tokens from the daemons' logs.
  *
  * @module
  */
@@ -8,18 +8,18 @@
 import {
 	command, flag, number, option, optional, restPositionals, string,
 } from 'cmd-ts';
-import type {CustomerLosses} from './budget-count.js';
-import {readLog} from './log-line.js';
-import {buildLosses, type Losses} from './losses.js';
-import {formatLossesPlot} from './losses-plot.js';
+import type {CustomerLosses} from './budget-counter.js';
+import {parseLogAndCountSkipped} from './log-line.js';
+import {buildLossReport, type LossReport} from './loss-report.js';
+import {renderLossPlot} from './loss-plot.js';
 import {formatTable, type TableRow} from './table.js';
 
-const secondsPerWindow = 2;
-/** Reasons that a table shows; the rest is in the document of `--json`. */
-const reasonsShown = 12;
+const defaultWindowSeconds = 2;
+/** Reasons listed in the table; `--json` lists all of them. */
+const maxReasonsShown = 12;
 
 /** @internal */
-function listWindowRows({windows}: Losses): TableRow[] {
+function buildWindowRows({windows}: LossReport): TableRow[] {
 	const outcomes = [...new Set(windows.flatMap(window => Object.keys(window.outcomes)))].sort();
 	return windows.map(({from, outcomes: counts}) => ({second: from, ...Object.fromEntries(outcomes.map(outcome => [outcome, counts[outcome] ?? 0]))}));
 }
@@ -30,7 +30,7 @@
 }
 
 /** @internal */
-function listCustomerRows({customers}: Losses): TableRow[] {
+function buildCustomerRows({customers}: LossReport): TableRow[] {
 	return customers.map(item => ({
 		customer: item.customer,
 		bought: item.bought,
@@ -42,42 +42,42 @@
 }
 
 /** @internal */
-function formatLosses(losses: Losses, skipped: number): string {
+function formatLossReport(report: LossReport, skipped: number): string {
 	return [
-		`Since ${losses.since}; ${skipped} lines without an event were left out`,
-		formatTable(listWindowRows(losses)),
+		`Since ${report.since}; ${skipped} lines without an event were skipped`,
+		formatTable(buildWindowRows(report)),
 		'Not served:',
-		formatTable(losses.reasons.slice(0, reasonsShown).map(item => ({...item}))),
-		'Customers, in tokens; short: requests that found too few:',
-		formatTable(listCustomerRows(losses)),
+		formatTable(report.reasons.slice(0, maxReasonsShown).map(item => ({...item}))),
+		'Customers, in tokens (short: number of requests with insufficient tokens; left with dead: granted to daemons that died, not known to be used):',
+		formatTable(buildCustomerRows(report)),
 	].join('\n\n');
 }
 
 /** `fireflylane losses` */
 export const lossesCommand = command({
 	name: 'losses',
-	description: 'Tell where requests and tokens were lost from the logs of several daemons; asks no daemon',
+	description: 'Report where requests and tokens were lost, from the logs of several daemons; contacts no daemon',
 	args: {
-		files: restPositionals({type: string, displayName: 'FILE', description: 'logs of gateways; - is the standard input'}),
+		files: restPositionals({type: string, displayName: 'FILE', description: 'log files of gateways; - or none reads the standard input'}),
 		window: option({
-			long: 'window', type: number, defaultValue: () => secondsPerWindow, description: 'seconds that a row covers',
+			long: 'window', type: number, defaultValue: () => defaultWindowSeconds, description: 'length of the time window that a row covers, in seconds',
 		}),
 		json: flag({long: 'json', description: 'print one JSON document'}),
-		plot: option({long: 'plot', type: optional(string), description: 'also write a picture to this SVG file'}),
+		plot: option({long: 'plot', type: optional(string), description: 'also write a chart to this SVG file'}),
 	},
-	async handler({files, window, json, plot}) {
-		if (!(window > 0)) {
-			process.stderr.write('--window takes seconds above 0\n');
+	async handler({files, window: windowSeconds, json, plot: plotFile}) {
+		if (!(windowSeconds > 0)) {
+			process.stderr.write('--window must be a number of seconds greater than 0\n');
 			process.exitCode = 1;
 			return;
 		}
 
-		const logs = (files.length === 0 ? ['-'] : files).map(file => readLog(readFileSync(file === '-' ? 0 : file, 'utf8')));
+		const logs = (files.length === 0 ? ['-'] : files).map(file => parseLogAndCountSkipped(readFileSync(file === '-' ? 0 : file, 'utf8')));
 		const skipped = logs.reduce((sum, log) => sum + log.skipped, 0);
-		const losses = buildLosses(logs.flatMap(({lines}) => lines), {window});
-		process.stdout.write(`${json ? JSON.stringify({...losses, skipped}) : formatLosses(losses, skipped)}\n`);
-		if (plot !== undefined) {
-			writeFileSync(plot, await formatLossesPlot(losses));
+		const report = buildLossReport(logs.flatMap(({lines}) => lines), {windowSeconds});
+		process.stdout.write(`${json ? JSON.stringify({...report, skipped}) : formatLossReport(report, skipped)}\n`);
+		if (plotFile !== undefined) {
+			writeFileSync(plotFile, await renderLossPlot(report));
 		}
 	},
 });
--- a/src/cli/print.ts
+++ b/src/cli/print.ts
@@ -1,5 +1,5 @@
 /**
- * Printing results and setting the exit code.
+ * Prints the results of commands and sets the exit code.
  *
  * @module
  */
@@ -10,22 +10,22 @@
 
 /** Options of {@linkcode printResult}. */
 export type PrintResultOptions<Document> = {
-	/** One JSON document instead of text for people. */
+	/** Whether to print one JSON document instead of formatted text. */
 	readonly json: boolean;
-	/** Formats the document for people. */
+	/** Formats the document as text. */
 	readonly format: (document: Document) => string;
 };
 
 /**
- * Prints a result. A failure goes to the standard error and sets the exit code
- * that docs/ERRORS.md gives for its type.
+ * Prints a result. A failure is printed to the standard error, and the exit
+ * code is set to the one listed for its type in docs/ERRORS.md.
  *
  * @example
  * ```ts
  * printResult(status, {json: false, format: document => document.daemon});
  * ```
  *
- * @param result What the daemon answered
+ * @param result Document received from the daemon, or the failure
  * @param options How to print it
  */
 export function printResult<Document>(result: Result<Document, Failure>, options: PrintResultOptions<Document>): void {
--- a/src/cli/request-count.ts
+++ b/src/cli/request-counter.ts
@@ -1,52 +1,52 @@
 /**
- * Counts what became of requests, by time and by reason.
+ * Counts requests by outcome: per time window, and by reason if not served.
  *
  * @module
  */
 import type {LogLine} from './log-line.js';
 
-/** Requests that came to their end in one span of time, by outcome. */
+/** Requests that ended within one time window, by outcome. */
 export type LossWindow = {
-	/** Seconds since the first line. */
+	/** Start of the window, in seconds since the first line. */
 	readonly from: number;
 	readonly outcomes: Readonly<Record<string, number>>;
 };
 
-/** Why requests were not served. */
+/** One reason for which requests were not served. */
 export type LossReason = {
 	readonly outcome: string;
 	readonly reason: string;
 	readonly requests: number;
-	/** Tokens that were counted for them. */
+	/** Tokens that these requests used. */
 	readonly tokens: number;
 };
 
-/** The outcome of a request whose answer was delivered whole. */
+/** Outcome of a request whose answer was delivered completely. */
 export const servedOutcome = 'served';
 
 const millisecondsPerSecond = 1000;
 
 /**
- * Creates an empty count.
+ * Creates an empty counter.
  *
  * @example
  * ```ts
- * const requests = createRequestCount(Date.parse('2026-01-31T08:00:00Z'), 2);
- * requests.note(line, 'refused', {reason: 'unknown-key', tokens: 0});
+ * const requests = createRequestCounter(Date.parse('2026-01-31T08:00:00Z'), 2);
+ * requests.record(line, 'refused', {reason: 'unknown-key', tokens: 0});
  * requests.listWindows(); // [{from: 0, outcomes: {refused: 1}}]
  * ```
  *
- * @param since Time of the first line, in milliseconds of Unix time
- * @param window Seconds that a window covers
- * @returns The count
+ * @param startTimeMs Unix time of the first line, in milliseconds
+ * @param windowSeconds Length of a window, in seconds
+ * @returns The counter
  */
-export function createRequestCount(since: number, window: number) {
+export function createRequestCounter(startTimeMs: number, windowSeconds: number) {
 	const windows = new Map<number, Record<string, number>>();
 	const reasons = new Map<string, {-readonly [Field in keyof LossReason]: LossReason[Field]}>();
 
 	return {
-		note(line: LogLine, outcome: string, {reason, tokens}: {readonly reason: string; readonly tokens: number}): void {
-			const from = Math.floor((Date.parse(line.at) - since) / millisecondsPerSecond / window) * window;
+		record(line: LogLine, outcome: string, {reason, tokens}: {readonly reason: string; readonly tokens: number}): void {
+			const from = Math.floor((Date.parse(line.at) - startTimeMs) / millisecondsPerSecond / windowSeconds) * windowSeconds;
 			const outcomes = windows.get(from) ?? {};
 			outcomes[outcome] = (outcomes[outcome] ?? 0) + 1;
 			windows.set(from, outcomes);
@@ -55,12 +55,12 @@
 			}
 
 			const key = `${outcome} ${reason}`;
-			const known = reasons.get(key) ?? {
+			const counts = reasons.get(key) ?? {
 				outcome, reason, requests: 0, tokens: 0,
 			};
-			known.requests += 1;
-			known.tokens += tokens;
-			reasons.set(key, known);
+			counts.requests += 1;
+			counts.tokens += tokens;
+			reasons.set(key, counts);
 		},
 		listWindows: (): LossWindow[] => [...windows].sort(([left], [right]) => left - right).map(([from, outcomes]) => ({from, outcomes})),
 		listReasons: (): LossReason[] => [...reasons.values()].sort((left, right) => right.requests - left.requests),
--- a/src/cli/table.ts
+++ b/src/cli/table.ts
@@ -1,5 +1,5 @@
 /**
- * Tables for people.
+ * Formats tables as text.
  *
  * @module
  */
@@ -7,10 +7,10 @@
 /** A cell of a table. */
 export type Cell = string | number | boolean | undefined;
 
-/** A row of a table, by column. */
+/** A row of a table: cells by column name. */
 export type TableRow = Readonly<Record<string, Cell>>;
 
-const gap = '  ';
+const columnSeparator = '  ';
 
 /** @internal */
 function formatCell(cell: Cell): string {
@@ -22,7 +22,7 @@
 }
 
 /**
- * Formats rows as a table with a heading.
+ * Formats rows as a table with a header line.
  *
  * @example
  * ```ts
@@ -31,7 +31,7 @@
  * // b1      1000
  * ```
  *
- * @param rows The rows; the first one's members are the columns
+ * @param rows The rows; the fields of the first one are the columns
  * @returns Lines of text
  */
 export function formatTable(rows: readonly TableRow[]): string {
@@ -42,5 +42,5 @@
 
 	const lines = [columns, ...rows.map(row => columns.map(column => formatCell(row[column])))];
 	const widths = columns.map((_, index) => Math.max(...lines.map(line => line[index]!.length)));
-	return lines.map(line => line.map((text, index) => text.padEnd(widths[index]!)).join(gap).trimEnd()).join('\n');
+	return lines.map(line => line.map((text, index) => text.padEnd(widths[index]!)).join(columnSeparator).trimEnd()).join('\n');
 }
--- a/src/cli/target.ts
+++ b/src/cli/target.ts
@@ -1,5 +1,5 @@
 /**
- * Options that every command of the command line has.
+ * Options shared by all commands that contact a daemon.
  *
  * @module
  */
@@ -11,30 +11,30 @@
 } from 'cmd-ts';
 import type {OperatorTarget} from './operator-client.js';
 
-/** The common options, for `cmd-ts`. */
+/** Definitions of the shared options, for `cmd-ts`. */
 export const targetOptions = {
 	url: option({
-		long: 'url', type: string, description: 'an entry daemon\'s address for operators', env: 'FIREFLYLANE_URL', defaultValue: () => 'http://127.0.0.1:7110',
+		long: 'url', type: string, description: 'operator address of an entry daemon', env: 'FIREFLYLANE_URL', defaultValue: () => 'http://127.0.0.1:7110',
 	}),
-	keyFile: option({long: 'key-file', type: optional(string), description: 'file with the operator key; else FIREFLYLANE_OPERATOR_KEY is read'}),
+	keyFile: option({long: 'key-file', type: optional(string), description: 'file with the operator key (default: the value of FIREFLYLANE_OPERATOR_KEY)'}),
 	json: flag({long: 'json', description: 'print one JSON document'}),
 };
 
-/** The common options as given. */
+/** Parsed values of the shared options. */
 export type TargetArguments = {readonly url: string; readonly keyFile: string | undefined; readonly json: boolean};
 
 /**
- * Builds the target of a command.
+ * Builds the target of a command, and reads the operator key.
  *
  * @example
  * ```ts
  * buildTarget({url: 'http://127.0.0.1:7110', keyFile: undefined, json: false});
  * ```
  *
- * @param given The options as given
- * @returns Where to ask, and with what key
+ * @param args Parsed values of the shared options
+ * @returns Address and key of the daemon, with the name of the current user as operator
  */
-export function buildTarget(given: TargetArguments): OperatorTarget {
-	const key = given.keyFile === undefined ? process.env.FIREFLYLANE_OPERATOR_KEY ?? '' : readFileSync(given.keyFile, 'utf8').trim();
-	return {url: given.url, key, operator: userInfo().username};
+export function buildTarget(args: TargetArguments): OperatorTarget {
+	const key = args.keyFile === undefined ? process.env.FIREFLYLANE_OPERATOR_KEY ?? '' : readFileSync(args.keyFile, 'utf8').trim();
+	return {url: args.url, key, operator: userInfo().username};
 }
