--- a/src/coordination/answer-relay.ts
+++ b/src/coordination/answer-relay.ts
@@ -5,7 +5,7 @@
  */
 import {Buffer} from 'node:buffer';
 import type {GatewayWire} from '../protocol/mod.js';
-import type {UpstreamAnswer} from '../transport/mod.js';
+import type {UpstreamResponse} from '../transport/mod.js';
 import {createEventSplitter, type StreamEvent} from './event-splitter.js';
 import type {ForwardRequest} from './forward-types.js';
 
@@ -47,10 +47,10 @@
 	abstract canRetry(): boolean;
 
 	/** Relays an answer whose status and headers have arrived. */
-	abstract relay(answer: UpstreamAnswer, options: RelayOptions): Promise<RelayOutcome>;
+	abstract relay(answer: UpstreamResponse, options: RelayOptions): Promise<RelayOutcome>;
 
 	/** Buffers the whole answer before sending any of it, so that the request can be retried if the answer is incomplete. */
-	protected async relayBuffered(answer: UpstreamAnswer, options: RelayOptions): Promise<RelayOutcome> {
+	protected async relayBuffered(answer: UpstreamResponse, options: RelayOptions): Promise<RelayOutcome> {
 		const chunks: Uint8Array[] = [];
 		try {
 			for await (const chunk of answer.chunks) {
@@ -90,7 +90,7 @@
 		return this.request.route.kind === 'idempotent';
 	}
 
-	async relay(answer: UpstreamAnswer, options: RelayOptions): Promise<RelayOutcome> {
+	async relay(answer: UpstreamResponse, options: RelayOptions): Promise<RelayOutcome> {
 		return this.relayBuffered(answer, options);
 	}
 }
@@ -113,7 +113,7 @@
 		return this.request.route.isResumable && (this.#eventCount === 0 || this.#lastEventId !== undefined);
 	}
 
-	async relay(answer: UpstreamAnswer, options: RelayOptions): Promise<RelayOutcome> {
+	async relay(answer: UpstreamResponse, options: RelayOptions): Promise<RelayOutcome> {
 		const isStream = String(answer.headers['content-type'] ?? '').startsWith('text/event-stream');
 		if (answer.status !== 200 || !isStream) {
 			return this.#relayNonStream(answer, options);
@@ -141,7 +141,7 @@
 		return {kind: 'complete'};
 	}
 
-	async #relayNonStream(answer: UpstreamAnswer, options: RelayOptions): Promise<RelayOutcome> {
+	async #relayNonStream(answer: UpstreamResponse, options: RelayOptions): Promise<RelayOutcome> {
 		if (this.request.answer.hasStarted()) {
 			answer.abandon();
 			return {kind: 'broken', detail: `The stream was not resumed: status ${answer.status}`, wasConnectionLost: false};
@@ -151,13 +151,13 @@
 	}
 
 	// A resumed stream keeps the status and headers of the first upstream that sent an event.
-	#startAnswer(answer: UpstreamAnswer): void {
+	#startAnswer(answer: UpstreamResponse): void {
 		if (!this.request.answer.hasStarted()) {
 			this.request.answer.start(answer.status, this.wire.buildAnswerHeaders(answer.rawHeaders));
 		}
 	}
 
-	async #forwardEvents(events: readonly StreamEvent[], answer: UpstreamAnswer, options: RelayOptions): Promise<void> {
+	async #forwardEvents(events: readonly StreamEvent[], answer: UpstreamResponse, options: RelayOptions): Promise<void> {
 		if (this.#eventCount === 0) {
 			options.onFirstEvent();
 		}
--- a/src/coordination/attempt-runner.ts
+++ b/src/coordination/attempt-runner.ts
@@ -11,7 +11,7 @@
 	type Done, type EventLog, type Failure, type GrantShare, type Refused, type Result, type RunFrame, type Work,
 } from '../protocol/mod.js';
 import type {AnswerEnd, Member, Reservation} from '../state/mod.js';
-import {createBound, type Clock, type FleetClient} from '../transport/mod.js';
+import {createTimeoutSignal, type Clock, type FleetClient} from '../transport/mod.js';
 import {isExpectedFrame, isCompleteAnswer} from './frame-check.js';
 import type {GrantManager} from './grant-manager.js';
 import type {LogFollower} from './log-follower.js';
@@ -192,7 +192,7 @@
 	async function * readConnection(attempt: Attempt): AsyncGenerator<Uint8Array, AttemptOutcome | undefined> {
 		const {call} = attempt;
 		const unresponsive = new AbortController();
-		const timeout = createBound(call.deadline - clock.now(), [unresponsive.signal, call.signal]);
+		const timeout = createTimeoutSignal(call.deadline - clock.now(), [unresponsive.signal, call.signal]);
 		let timer = setTimeout(() => {
 			unresponsive.abort();
 		}, responseTimeoutMs);
--- a/src/coordination/crash-detector.test.ts
+++ b/src/coordination/crash-detector.test.ts
@@ -1,13 +1,13 @@
 import {expect, test} from 'vitest';
 import type {UpstreamRegistration} from '../protocol/mod.js';
-import type {ProbeVerdict} from '../transport/mod.js';
+import type {ProbeResult} from '../transport/mod.js';
 import {createCrashDetector} from './mod.js';
 
 const upstream: UpstreamRegistration = {
 	id: 'u1', service: 's', address: '127.0.0.1:1', failureDomain: 'd', slots: 4, isDraining: false, warmUp: 0,
 };
 
-function createFixture(verdict: ProbeVerdict, isExpected = true) {
+function createFixture(verdict: ProbeResult, isExpected = true) {
 	const state = {probes: 0, isExpected};
 	const detector = createCrashDetector({
 		isExpectedUp: () => state.isExpected,
--- a/src/coordination/crash-detector.ts
+++ b/src/coordination/crash-detector.ts
@@ -8,14 +8,14 @@
  * @module
  */
 import type {UpstreamRegistration} from '../protocol/mod.js';
-import type {ProbeVerdict} from '../transport/mod.js';
+import type {ProbeResult} from '../transport/mod.js';
 
 /** Options of {@linkcode createCrashDetector}. */
 export type CreateCrashDetectorOptions = {
 	/** Returns true if an upstream is listed and not leaving. The end of any other upstream is not a crash. */
 	readonly isExpectedUp: (upstream: string) => boolean;
 	/** Probes whether a process listens at an address. */
-	readonly probe: (address: string) => Promise<ProbeVerdict>;
+	readonly probe: (address: string) => Promise<ProbeResult>;
 };
 
 /** Detects crashes of upstreams. */
@@ -37,10 +37,10 @@
  */
 export function createCrashDetector(options: CreateCrashDetectorOptions) {
 	const crashedIds = new Set<string>();
-	const pendingProbes = new Map<string, Promise<ProbeVerdict>>();
+	const pendingProbes = new Map<string, Promise<ProbeResult>>();
 
 	// Requests that lose their connections at the same time share one probe.
-	async function probeShared({id, address}: UpstreamRegistration): Promise<ProbeVerdict> {
+	async function probeShared({id, address}: UpstreamRegistration): Promise<ProbeResult> {
 		const pending = pendingProbes.get(id) ?? options.probe(address);
 		pendingProbes.set(id, pending);
 		try {
--- a/src/coordination/keyed-follower.ts
+++ b/src/coordination/keyed-follower.ts
@@ -6,7 +6,7 @@
 import {
 	createFailure, type EventLog, type Failure, type KeyedLog, type StoredRecord,
 } from '../protocol/mod.js';
-import {waitAtMost, type Clock} from '../transport/mod.js';
+import {waitWithTimeout, type Clock} from '../transport/mod.js';
 
 /** A period in which the log did not answer; times are in milliseconds of the monotonic clock. */
 export type LogOutage = {
@@ -186,7 +186,7 @@
 		}
 
 		const timeoutMs = options.longPollMs + options.readTimeoutMs;
-		const isAnswered = await waitAtMost(pending, {clock, span: timeoutMs});
+		const isAnswered = await waitWithTimeout(pending, {clock, timeoutMs});
 		if (isAnswered === undefined && !signal.aborted) {
 			recordFailure(sentAt, createFailure('log-unavailable', `A read was not answered within ${timeoutMs} ms`));
 			return 'hanging';
--- a/src/coordination/log-follower.ts
+++ b/src/coordination/log-follower.ts
@@ -172,7 +172,7 @@
 	}
 
 	async function readOnce(signal: AbortSignal): Promise<void> {
-		const page = await log.read(state.getNextOffset(), {wait: isReady && isLogUp ? longPollMs : 0, signal});
+		const page = await log.read(state.getNextOffset(), {waitMs: isReady && isLogUp ? longPollMs : 0, signal});
 		if (page.ok) {
 			recordLogState(true);
 			foldPage(page.val);
--- a/src/coordination/model-runner.ts
+++ b/src/coordination/model-runner.ts
@@ -10,7 +10,7 @@
 } from '../protocol/mod.js';
 import {allocateShares, sumShares, type TrackedRequest} from '../state/mod.js';
 import {
-	createBound, isConnectionRefused, type Clock, type EngineCall, type EngineClient,
+	createTimeoutSignal, isConnectionRefused, type Clock, type EngineCall, type EngineClient,
 } from '../transport/mod.js';
 import {readMaxTokens} from './engine-limit.js';
 import type {ReceiptReporter} from './receipt-reporter.js';
@@ -114,7 +114,7 @@
 	// Resumes a broken stream on a new connection from the next event, without starting a second run.
 	async function readAnswer(work: ModelWork, progress: Progress): Promise<Result<undefined, Failure>> {
 		const {request} = work;
-		const timeout = createBound(work.deadline - clock.now(), [request.abortController.signal]);
+		const timeout = createTimeoutSignal(work.deadline - clock.now(), [request.abortController.signal]);
 		const call: EngineCall = {
 			requestId: request.id, body: Buffer.from(work.payload).toString(), priority: work.priority,
 			signal: timeout.signal,
--- a/src/coordination/order-sender.ts
+++ b/src/coordination/order-sender.ts
@@ -60,7 +60,7 @@
 				return;
 			}
 
-			if (await engine.order({action: order.action, value: order.value, fence: order.fence})) {
+			if (await engine.sendOrder({action: order.action, value: order.value, fence: order.fence})) {
 				sent.set(order.action, order.fence);
 				events.write('orderSent', {action: order.action, fence: order.fence});
 			}
--- a/src/coordination/relayed-log.ts
+++ b/src/coordination/relayed-log.ts
@@ -12,7 +12,7 @@
 import type {
 	AppendOutcome, EventLog, Failure, KeyedLog, NewestRecords, Result,
 } from '../protocol/mod.js';
-import {waitAtMost, type Clock} from '../transport/mod.js';
+import {waitWithTimeout, type Clock} from '../transport/mod.js';
 
 /** Tracks whether the direct path to the store works and which relays reach it; shared by all logs of a daemon. */
 export type StorePathTracker = ReturnType<typeof createStorePathTracker>;
@@ -198,7 +198,7 @@
 		const calls: Array<Promise<Value>> = [];
 		for (const relay of pathTracker.selectRelays(options.listRelays())) {
 			calls.push(callRelay(relay, call));
-			const earlyValue = await waitAtMost(resolveFirstReached(calls, call.hasReachedStore), {clock, span: relayHedgeDelayMs + (call.longPollMs ?? 0)});
+			const earlyValue = await waitWithTimeout(resolveFirstReached(calls, call.hasReachedStore), {clock, timeoutMs: relayHedgeDelayMs + (call.longPollMs ?? 0)});
 			if (earlyValue !== undefined && call.hasReachedStore(earlyValue)) {
 				pathTracker.recordRelayedCall(true);
 				return earlyValue;
@@ -246,13 +246,13 @@
 		const wasDirectUp = pathTracker.isUp();
 		if (!pathTracker.admitCall()) {
 			const pending = callRelays(call);
-			const earlyValue = await waitAtMost(pending, {clock, span: maxWaitMs});
+			const earlyValue = await waitWithTimeout(pending, {clock, timeoutMs: maxWaitMs});
 			return earlyValue !== undefined && call.hasReachedStore(earlyValue) ? earlyValue : hedgeWithDirect(call, pending);
 		}
 
 		const pending = callDirect(call);
 		// A probe of a direct path that is down does not delay the call.
-		const earlyValue = await waitAtMost(pending, {clock, span: wasDirectUp ? maxWaitMs : 0});
+		const earlyValue = await waitWithTimeout(pending, {clock, timeoutMs: wasDirectUp ? maxWaitMs : 0});
 		return earlyValue !== undefined && call.hasReachedStore(earlyValue) ? earlyValue : hedgeWithRelays(call, pending);
 	}
 
--- a/src/coordination/request-forwarder.test.ts
+++ b/src/coordination/request-forwarder.test.ts
@@ -301,9 +301,9 @@
 	const fixture = createFixture([{status: 200, chunks: ['ok']}]);
 	await fixture.forward({kind: 'idempotent'});
 	const [call] = fixture.calls;
-	expect(call!.isStillWanted()).toBe(true);
+	expect(call!.shouldStillSend()).toBe(true);
 	fixture.directory.put({...fixture.directory.get(call!.address)!, isDraining: true}, 1);
-	expect(call!.isStillWanted()).toBe(false);
+	expect(call!.shouldStillSend()).toBe(false);
 });
 
 // Guards against a single request that crashes one upstream with each of its attempts.
--- a/src/coordination/request-forwarder.ts
+++ b/src/coordination/request-forwarder.ts
@@ -10,7 +10,7 @@
 	createFailure, type AnswerMetadata, type EventLog, type Failure, type GatewayWire,
 } from '../protocol/mod.js';
 import {
-	type CallFailure, type Clock, type UpstreamAnswer, type UpstreamClient, createBound,
+	type CallFailure, type Clock, type UpstreamResponse, type UpstreamClient, createTimeoutSignal,
 } from '../transport/mod.js';
 import {
 	StreamAnswerRelay, BufferedAnswerRelay, type AnswerRelay, type RelayOutcome,
@@ -109,7 +109,7 @@
 		return facts.requestId !== undefined && facts.requestId !== request.id;
 	}
 
-	async function receive({request, relay, progress}: ForwardingState, answer: UpstreamAnswer, {tracker, onProgress}: ReceiveOptions): Promise<SendOutcome> {
+	async function receive({request, relay, progress}: ForwardingState, answer: UpstreamResponse, {tracker, onProgress}: ReceiveOptions): Promise<SendOutcome> {
 		const facts = wire.readAnswer(answer.status, answer.headers);
 		if (facts.load) {
 			tracker.recordLoad(facts.load);
@@ -192,7 +192,7 @@
 		const trackedRun = quarantine.begin(request.digest, request.id);
 		const stallTimeout = createStallTimeout(request, relay);
 		const remaining = request.deadline - clock.now();
-		const timeLimit = createBound(remaining, [request.signal, stallTimeout.signal]);
+		const timeLimit = createTimeoutSignal(remaining, [request.signal, stallTimeout.signal]);
 		try {
 			const called = await client.call({
 				address: upstream.address,
@@ -203,8 +203,8 @@
 				}),
 				body: request.body,
 				signal: timeLimit.signal,
-				isAlone: !relay.canRetry(),
-				isStillWanted: () => registry.isLive(id),
+				shouldUseNewConnection: !relay.canRetry(),
+				shouldStillSend: () => registry.isLive(id),
 			});
 			const outcome = called.ok ? await receive(state, called.val, {tracker, onProgress: stallTimeout.recordProgress}) : classifyCallFailure(called.val, progress);
 			if (outcome.kind === 'broken' && !request.signal.aborted) {
--- a/src/coordination/service-runner.ts
+++ b/src/coordination/service-runner.ts
@@ -166,7 +166,7 @@
 	async function callService(work: ServiceWork): Promise<Result<undefined, Failure>> {
 		const {request, service} = work;
 		const remaining = Math.max(1, work.deadline - clock.now());
-		const answer = await client.call({service: service.name, body: work.payload, timeout: remaining});
+		const answer = await client.call({service: service.name, body: work.payload, timeoutMs: remaining});
 		if (answer.err) {
 			return answer;
 		}
--- a/src/daemon/core.ts
+++ b/src/daemon/core.ts
@@ -59,7 +59,7 @@
 	const self: Self = {
 		id: settings.id, role: settings.role, incarnation: createId('i'), isLeaving: false,
 	};
-	const log = createLogClient({url: settings.log.url, stream: settings.log.stream, timeout: settings.log.timeout});
+	const log = createLogClient({url: settings.log.url, stream: settings.log.stream, timeoutMs: settings.log.timeout});
 	const hostList = settings.hostList && createHostListClient(settings.hostList.url);
 	const fleet = createFleetClient(fleetKey);
 	const stopper = new AbortController();
@@ -91,7 +91,7 @@
 			return startFleetServer(settings.listen.peers, {
 				fleetKey,
 				routes,
-				onRefused() {
+				onUnauthenticated() {
 					events.write('peerRefused');
 				},
 			});
--- a/src/daemon/entry-daemon.ts
+++ b/src/daemon/entry-daemon.ts
@@ -119,7 +119,7 @@
 
 			stopSnapshots();
 			await callerServer.close();
-			operatorServer.cut();
+			operatorServer.closeAllConnections();
 			await fleetServer.close();
 			await core.close();
 		},
--- a/src/daemon/gateway-daemon.ts
+++ b/src/daemon/gateway-daemon.ts
@@ -172,7 +172,7 @@
 
 	function readWork(): ProcessStats {
 		const {user, system} = process.cpuUsage();
-		const {connections, requests} = callerServer.countWork();
+		const {connections, requests} = callerServer.getStatistics();
 		return {cpuMs: (user + system) / microsecondsPerMillisecond, connections, requests};
 	}
 
@@ -246,12 +246,12 @@
 	let mostGateways = leastGateways;
 	const forwarder = createRequestForwarder({
 		wire: adapter.wire, clock, events,
-		client: createUpstreamClient({connectTimeout, connections: upstreamConnections}),
+		client: createUpstreamClient({connectTimeoutMs: connectTimeout, maxConnections: upstreamConnections}),
 		registry: upstreams,
 		quarantine,
 		crashDetector: createCrashDetector({
 			isExpectedUp: upstreams.isListed,
-			probe: async address => probeAddress(address, {timeout: probeTimeout}),
+			probe: async address => probeAddress(address, {timeoutMs: probeTimeout}),
 		}),
 		findRetryBudget(service) {
 			const gateways = book.listRunning().filter(({role}) => role === 'gateway').length;
@@ -290,7 +290,7 @@
 		service.get('/metrics', (_request, response) => {
 			response.setHeader('content-type', 'text/plain; version=0.0.4');
 			response.end(formatGatewayMetrics({
-				metrics, events, running: callers.countRunning(), version: findVersion(), account, admission, quarantine, work: callerServer.countWork(), readinessAnswers,
+				metrics, events, running: callers.countRunning(), version: findVersion(), account, admission, quarantine, work: callerServer.getStatistics(), readinessAnswers,
 			}));
 		});
 	});
@@ -300,17 +300,17 @@
 			router.service(Relay, createRelayInterface(Object.values(adapter.logs), signal));
 			router.service(Gateway, createGatewayPeerInterface({answerCatchUp, lend: lending.lend}));
 		},
-		onRefused() {
+		onUnauthenticated() {
 			events.write('peerRefused');
 		},
 	});
 	const newsSocket = await openDatagramSocket(settings.listen.news, {
 		fleetKey: settings.fleetKey,
 		onMessage: news.take,
-		onRefused() {
+		onUnauthenticated() {
 			events.write('peerRefused');
 		},
-		onLost(error) {
+		onSendError(error) {
 			events.write('peerNewsLost', {detail: error.message});
 		},
 	});
@@ -346,7 +346,7 @@
 			events.write('daemonStopping', {running: callers.countRunning()});
 			stopWindow.begin(findStopSpan());
 			news.noteChange();
-			callerServer.leave();
+			callerServer.requestConnectionClose();
 			await clock.sleep(leaveNotice);
 			const connections = callerServer.drain();
 			events.write('daemonDraining', {stoppingMs: Math.round(stopWindow.countElapsed()!), running: callers.countRunning(), connections});
@@ -358,9 +358,9 @@
 			await Promise.race([keeper.releaseUnused(), clock.sleep(stopReserve / 2)]);
 			stopper.abort();
 			callers.noteEnding();
-			callerServer.cut();
-			readinessServer.cut();
-			metricsServer.cut();
+			callerServer.closeAllConnections();
+			readinessServer.closeAllConnections();
+			metricsServer.closeAllConnections();
 			newsSocket.close();
 			await peerServer.close();
 			fleet.close();
--- a/src/daemon/gateway-interface.test.ts
+++ b/src/daemon/gateway-interface.test.ts
@@ -79,5 +79,5 @@
 	bring();
 	await wait(20);
 	expect(settled).toEqual([0]);
-	server.cut();
+	server.closeAllConnections();
 });
--- a/src/daemon/gateway-interface.ts
+++ b/src/daemon/gateway-interface.ts
@@ -14,7 +14,7 @@
 } from '../protocol/mod.js';
 import type {RouteTable, TokenReservation} from '../state/mod.js';
 import {
-	readArrived, readBody, waitUnlessAborted, waitUntilSent, type Clock,
+	readPendingInput, readBody, waitUnlessAborted, waitUntilSent, type Clock,
 } from '../transport/mod.js';
 import {createCallerAnswer} from './caller-answer.js';
 import {computeRequestDigest} from './request-digest.js';
@@ -319,7 +319,7 @@
 
 			// Guards against work for callers who have left: a gateway that fell behind by seconds would send on each request
 			// that it finds waiting, and upstreams would work for nobody while those who still wait are served later.
-			await readArrived();
+			await readPendingInput();
 			if (leaving.signal.aborted) {
 				if (reservation.val) {
 					keeper.settle(reservation.val, 0);
--- a/src/daemon/gateway-metrics.ts
+++ b/src/daemon/gateway-metrics.ts
@@ -7,7 +7,7 @@
 import type {Admission, Metrics, Quarantine} from '../coordination/mod.js';
 import type {EventLog} from '../protocol/mod.js';
 import type {TokenAccount} from '../state/mod.js';
-import type {CallerWork} from '../transport/mod.js';
+import type {CallerServerStatistics} from '../transport/mod.js';
 
 /** Options of {@linkcode formatGatewayMetrics}. */
 export type FormatGatewayMetricsOptions = {
@@ -21,7 +21,7 @@
 	readonly admission: Pick<Admission, 'getLimit' | 'getLagMs'>;
 	readonly quarantine: Pick<Quarantine, 'listAll' | 'listHeld'>;
 	/** What callers have asked of this gateway. */
-	readonly work: CallerWork;
+	readonly work: CallerServerStatistics;
 	/** Readiness questions that were answered. */
 	readonly readinessAnswers: number;
 };
--- a/src/daemon/quarantine-interface.test.ts
+++ b/src/daemon/quarantine-interface.test.ts
@@ -30,7 +30,7 @@
 	const second = await release();
 	expect([first.status, second.status]).toEqual([200, 404]);
 	expect(quarantine.admit('d1').ok).toBe(true);
-	server.cut();
+	server.closeAllConnections();
 });
 
 test('who lacks the operator key sees and changes nothing', async () => {
@@ -41,5 +41,5 @@
 	expect(quarantine.admit('d1').ok).toBe(false);
 	const allowed = await fetch(`${server.url}/v1/quarantine`, {headers: {authorization: 'Bearer secret'}});
 	expect(allowed.status).toBe(200);
-	server.cut();
+	server.closeAllConnections();
 });
--- a/src/daemon/relay-daemon.ts
+++ b/src/daemon/relay-daemon.ts
@@ -52,7 +52,7 @@
 		routes(router) {
 			router.service(Relay, createRelayInterface([logs.deployment, logs.upstreams, logs.grants], signal));
 		},
-		onRefused() {
+		onUnauthenticated() {
 			events.write('peerRefused');
 		},
 	});
--- a/src/daemon/upstream-daemon.ts
+++ b/src/daemon/upstream-daemon.ts
@@ -32,7 +32,7 @@
 	const reporter = createReceiptReporter({
 		self, follower, writer, table, clock, events, intervalMs: settings.receipts.every,
 	});
-	const engine = upstream.work === 'model' ? createEngineClient({url: upstream.url, silence: upstream.silence}) : undefined;
+	const engine = upstream.work === 'model' ? createEngineClient({url: upstream.url, idleTimeoutMs: upstream.silence}) : undefined;
 	const client = upstream.work === 'service' ? createServiceClient(upstream.url) : undefined;
 	const models = engine && createModelRunner({
 		engine, reporter, clock, events,
@@ -121,7 +121,7 @@
 				await enrolment.leave();
 			}
 
-			operatorServer.cut();
+			operatorServer.closeAllConnections();
 			await fleetServer.close();
 			await work.close();
 			await core.close();
--- a/src/transport/abort-signals.test.ts
+++ b/src/transport/abort-signals.test.ts
@@ -1,17 +1,17 @@
 import {setTimeout as wait} from 'node:timers/promises';
 import {expect, test} from 'vitest';
-import {createBound, joinSignals} from './mod.js';
+import {createTimeoutSignal, joinSignals} from './mod.js';
 
 test('createBound() aborts after its timeout', async () => {
-	const timeout = createBound(20);
+	const timeout = createTimeoutSignal(20);
 	await wait(60);
 	expect(timeout.signal.aborted).toBe(true);
 });
 
 test('createBound() aborts with another signal and not after clear()', async () => {
 	const other = new AbortController();
-	const timeout = createBound(10_000, [other.signal]);
-	const cleared = createBound(10, [other.signal]);
+	const timeout = createTimeoutSignal(10_000, [other.signal]);
+	const cleared = createTimeoutSignal(10, [other.signal]);
 	cleared.clear();
 	other.abort();
 	await wait(30);
--- a/src/transport/abort-signals.ts
+++ b/src/transport/abort-signals.ts
@@ -22,7 +22,7 @@
  *
  * @example
  * ```ts
- * const timeout = createBound(3000, [callerSignal]);
+ * const timeout = createTimeoutSignal(3000, [callerSignal]);
  * try {
  * 	await request(url, {signal: timeout.signal});
  * } finally {
@@ -34,7 +34,7 @@
  * @param signals Other signals that abort it; default none
  * @returns The signal, and a function that releases its resources
  */
-export function createBound(timeoutMs: number, signals: readonly AbortSignal[] = []): ClearableSignal {
+export function createTimeoutSignal(timeoutMs: number, signals: readonly AbortSignal[] = []): ClearableSignal {
 	const controller = new AbortController();
 	const abort = () => {
 		controller.abort(new Error(`The call was aborted or exceeded its timeout of ${Math.round(timeoutMs)} ms`));
--- a/src/transport/caller-server.test.ts
+++ b/src/transport/caller-server.test.ts
@@ -37,5 +37,5 @@
 	await ended;
 	expect(text).toContain('data: last');
 	expect(text.endsWith('0\r\n\r\n')).toBe(true);
-	server.cut();
+	server.closeAllConnections();
 });
--- a/src/transport/caller-server.ts
+++ b/src/transport/caller-server.ts
@@ -18,19 +18,19 @@
 	/** Applies the limits of a deployment to new requests. */
 	readonly setLimits: (limits: CallerLimits) => void;
 	/** Sends `connection: close` with every response from now on. */
-	readonly leave: () => void;
+	readonly requestConnectionClose: () => void;
 	/**
 	 * Closes idle connections now and the others after their response; returns how many are still open. New connections
 	 * are still accepted, so that callers receive a response instead of a refused connection.
 	 */
 	readonly drain: () => number;
 	/** Closes all connections immediately and stops listening. */
-	readonly cut: () => void;
-	readonly countWork: () => CallerWork;
+	readonly closeAllConnections: () => void;
+	readonly getStatistics: () => CallerServerStatistics;
 };
 
 /** Counts of connections and requests. */
-export type CallerWork = {
+export type CallerServerStatistics = {
 	/** Connections open now. */
 	readonly open: number;
 	/** Connections accepted since the start. */
@@ -119,7 +119,7 @@
 			server.headersTimeout = limits.headerTimeout;
 			server.keepAliveTimeout = limits.idleTimeout + idleTimeoutMarginMs;
 		},
-		leave() {
+		requestConnectionClose() {
 			shouldCloseAfterResponse = true;
 		},
 		drain() {
@@ -128,10 +128,10 @@
 			tracker.closeIdle();
 			return tracker.countOpen();
 		},
-		cut() {
+		closeAllConnections() {
 			server.close();
 			server.closeAllConnections();
 		},
-		countWork: () => ({open: tracker.countOpen(), connections: tracker.countAccepted(), requests: requestCount}),
+		getStatistics: () => ({open: tracker.countOpen(), connections: tracker.countAccepted(), requests: requestCount}),
 	};
 }
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -19,16 +19,16 @@
  *
  * @example
  * ```ts
- * await waitAtMost(response, {clock, span: 300}); // undefined after 300 ms
+ * await waitWithTimeout(response, {clock, timeoutMs: 300}); // undefined after 300 ms
  * ```
  *
  * @param pending The promise to wait for
  * @param options The clock, and the timeout in milliseconds
  * @returns The value, or undefined if the timeout expired first
  */
-export async function waitAtMost<Value>(pending: Promise<Value>, {clock, span}: {readonly clock: Clock; readonly span: number}): Promise<Value | undefined> {
+export async function waitWithTimeout<Value>(pending: Promise<Value>, {clock, timeoutMs}: {readonly clock: Clock; readonly timeoutMs: number}): Promise<Value | undefined> {
 	const timer = new AbortController();
-	const value = await Promise.race([pending, clock.sleep(span, timer.signal)]);
+	const value = await Promise.race([pending, clock.sleep(timeoutMs, timer.signal)]);
 	timer.abort(waitFinished);
 	return value ?? undefined;
 }
--- a/src/transport/datagram-socket.test.ts
+++ b/src/transport/datagram-socket.test.ts
@@ -12,10 +12,10 @@
 		onMessage(message) {
 			messages.push(new TextDecoder().decode(message));
 		},
-		onRefused() {
+		onUnauthenticated() {
 			counts.refused += 1;
 		},
-		onLost() {
+		onSendError() {
 			counts.lost += 1;
 		},
 	});
--- a/src/transport/datagram-socket.ts
+++ b/src/transport/datagram-socket.ts
@@ -15,9 +15,9 @@
 	readonly fleetKey: string;
 	readonly onMessage: (message: Uint8Array) => void;
 	/** Called for each datagram without a valid message authentication code. */
-	readonly onRefused: () => void;
+	readonly onUnauthenticated: () => void;
 	/** Called when a datagram could not be sent; `send` itself reports no error. */
-	readonly onLost: (error: Error) => void;
+	readonly onSendError: (error: Error) => void;
 };
 
 /** An open socket. */
@@ -60,18 +60,18 @@
  * @throws When the address cannot be listened on
  */
 export async function openDatagramSocket({host, port}: ListenAddress, options: OpenDatagramSocketOptions): Promise<DatagramSocket> {
-	const {fleetKey, onMessage, onRefused, onLost} = options;
+	const {fleetKey, onMessage, onUnauthenticated, onSendError} = options;
 	const socket = createSocket('udp4');
 	socket.bind(port, host);
 	await once(socket, 'listening');
 	// Without a listener, an `error` event of the socket would terminate the process.
-	socket.on('error', onLost);
+	socket.on('error', onSendError);
 	socket.on('message', datagram => {
 		const message = verifyDatagram(fleetKey, datagram);
 		if (message) {
 			onMessage(message);
 		} else {
-			onRefused();
+			onUnauthenticated();
 		}
 	});
 	let isClosed = false;
@@ -85,7 +85,7 @@
 				if (!isClosed) {
 					socket.send(datagram, Number(peerPort), peerHost, error => {
 						if (error) {
-							onLost(error);
+							onSendError(error);
 						}
 					});
 				}
--- a/src/transport/engine-client.ts
+++ b/src/transport/engine-client.ts
@@ -15,7 +15,7 @@
 export type CreateEngineClientOptions = {
 	readonly url: string;
 	/** Time without data after which a stream fails, in milliseconds. */
-	readonly silence: number;
+	readonly idleTimeoutMs: number;
 };
 
 /** A chat request to the engine. */
@@ -42,7 +42,7 @@
 	readonly cancel: (requestId: string) => Promise<void>;
 	readonly fetchLoad: () => Promise<EngineLoad | undefined>;
 	/** Sends an order to the engine; `fence` is its fencing token. */
-	readonly order: (order: {action: string; value: string; fence: number}) => Promise<boolean>;
+	readonly sendOrder: (order: {action: string; value: string; fence: number}) => Promise<boolean>;
 	readonly close: () => Promise<void>;
 };
 
@@ -95,7 +95,7 @@
  *
  * @example
  * ```ts
- * const engine = createEngineClient({url: 'http://127.0.0.1:8000', silence: 5000});
+ * const engine = createEngineClient({url: 'http://127.0.0.1:8000', idleTimeoutMs: 5000});
  * ```
  *
  * @param options URL and timeout
@@ -103,7 +103,7 @@
  */
 export function createEngineClient(options: CreateEngineClientOptions): EngineClient {
 	const dispatcher = new Agent({
-		connections: 256, bodyTimeout: options.silence, headersTimeout: options.silence, connect: {timeout: requestTimeoutMs},
+		connections: 256, bodyTimeout: options.idleTimeoutMs, headersTimeout: options.idleTimeoutMs, connect: {timeout: requestTimeoutMs},
 	});
 
 	async function post(path: string, body: string): Promise<Dispatcher.ResponseData> {
@@ -162,7 +162,7 @@
 			}
 		},
 
-		async order(order) {
+		async sendOrder(order) {
 			try {
 				const response = await post('/v1/orders', JSON.stringify(order));
 				await response.body.dump();
--- a/src/transport/fleet-server.test.ts
+++ b/src/transport/fleet-server.test.ts
@@ -15,7 +15,7 @@
 async function startServer(onStreamed: () => void) {
 	return startFleetServer({host: '127.0.0.1', port: 0}, {
 		fleetKey,
-		onRefused: () => undefined,
+		onUnauthenticated: () => undefined,
 		routes(router) {
 			router.service(Upstream, {
 				async fence() {
--- a/src/transport/fleet-server.ts
+++ b/src/transport/fleet-server.ts
@@ -20,7 +20,7 @@
 	readonly fleetKey: string;
 	readonly routes: (router: ConnectRouter) => void;
 	/** Called for each call without the fleet's key. */
-	readonly onRefused: () => void;
+	readonly onUnauthenticated: () => void;
 };
 
 /** A running fleet server. */
@@ -41,7 +41,7 @@
 function createKeyVerifier(options: StartFleetServerOptions): Interceptor {
 	return next => async request => {
 		if (!isSameSecret(request.header.get(fleetKeyHeader) ?? '', options.fleetKey)) {
-			options.onRefused();
+			options.onUnauthenticated();
 			throw new ConnectError('The call carries no valid fleet key', Code.Unauthenticated);
 		}
 
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -23,7 +23,7 @@
 	/** Stops listening and closes all connections; to be called once no request is running. */
 	readonly close: () => Promise<void>;
 	/** Closes all connections immediately, also those with running requests. */
-	readonly cut: () => void;
+	readonly closeAllConnections: () => void;
 };
 
 /** A function that adds routes to a restana service. */
@@ -94,7 +94,7 @@
 			await closed;
 			clearTimeout(timer);
 		},
-		cut() {
+		closeAllConnections() {
 			server.closeAllConnections();
 		},
 	};
@@ -187,10 +187,10 @@
  *
  * @example
  * ```ts
- * await readArrived();
+ * await readPendingInput();
  * ```
  */
-export async function readArrived(): Promise<void> {
+export async function readPendingInput(): Promise<void> {
 	// The first await ends the iteration in which the request was read, the second the one after it.
 	await nextTurn();
 	await nextTurn();
--- a/src/transport/log-client.ts
+++ b/src/transport/log-client.ts
@@ -7,7 +7,7 @@
 import {
 	Err, Ok, createFailure, logPageSchema, type Failure, type LogPage, type LogRecord, type Result,
 } from '../protocol/mod.js';
-import {createBound} from './abort-signals.js';
+import {createTimeoutSignal} from './abort-signals.js';
 
 /** Why a read failed: `away` if the log is unavailable, `gone` if it no longer keeps the requested offset. */
 export type ReadFailure =
@@ -19,13 +19,13 @@
 	readonly url: string;
 	readonly stream: string;
 	/** Timeout of an append or a read, in milliseconds. */
-	readonly timeout: number;
+	readonly timeoutMs: number;
 };
 
 /** Options of {@linkcode LogClient.read}. */
 export type ReadLogOptions = {
 	/** How long the log service may delay the response until there is a new record, in milliseconds; default 0. */
-	readonly wait?: number;
+	readonly waitMs?: number;
 	readonly signal?: AbortSignal;
 };
 
@@ -51,7 +51,7 @@
  *
  * @example
  * ```ts
- * const log = createLogClient({url: 'http://127.0.0.1:7000', stream: 'fleet', timeout: 3000});
+ * const log = createLogClient({url: 'http://127.0.0.1:7000', stream: 'fleet', timeoutMs: 3000});
  * await log.read(0);
  * ```
  *
@@ -59,7 +59,7 @@
  * @returns The client
  */
 export function createLogClient(options: CreateLogClientOptions): LogClient {
-	let dispatcher = createDispatcher(options.timeout);
+	let dispatcher = createDispatcher(options.timeoutMs);
 	let isClosed = false;
 	const address = `${options.url}/v1/streams/${options.stream}/records`;
 
@@ -71,7 +71,7 @@
 	// out detects that; all open connections are then dropped, so that the next call opens a new one.
 	function dropConnections(failedDispatcher: Agent, signal?: AbortSignal): void {
 		if (failedDispatcher === dispatcher && !signal?.aborted && !isClosed) {
-			dispatcher = createDispatcher(options.timeout);
+			dispatcher = createDispatcher(options.timeoutMs);
 			void failedDispatcher.destroy();
 		}
 	}
@@ -79,7 +79,7 @@
 	return {
 		async append(records) {
 			const usedDispatcher = dispatcher;
-			const timeout = createBound(options.timeout);
+			const timeout = createTimeoutSignal(options.timeoutMs);
 			try {
 				const response = await request(address, {
 					method: 'POST', dispatcher: usedDispatcher, signal: timeout.signal,
@@ -96,11 +96,11 @@
 			}
 		},
 
-		async read(from, {wait = 0, signal} = {}) {
+		async read(from, {waitMs = 0, signal} = {}) {
 			const usedDispatcher = dispatcher;
-			const timeout = createBound(options.timeout + wait, signal ? [signal] : []);
+			const timeout = createTimeoutSignal(options.timeoutMs + waitMs, signal ? [signal] : []);
 			try {
-				const response = await request(`${address}?from=${from}&wait=${wait}&limit=${maxPageRecords}`, {dispatcher: usedDispatcher, signal: timeout.signal});
+				const response = await request(`${address}?from=${from}&wait=${waitMs}&limit=${maxPageRecords}`, {dispatcher: usedDispatcher, signal: timeout.signal});
 				const body = await response.body.json();
 				if (response.statusCode === goneStatus) {
 					const {first, next} = logPageSchema.parse(body);
--- a/src/transport/probe-address.test.ts
+++ b/src/transport/probe-address.test.ts
@@ -8,8 +8,8 @@
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
 	const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-	expect(await probeAddress(address, {timeout: 1000})).toBe('open');
+	expect(await probeAddress(address, {timeoutMs: 1000})).toBe('open');
 	server.close();
 	await once(server, 'close');
-	expect(await probeAddress(address, {timeout: 1000})).toBe('refused');
+	expect(await probeAddress(address, {timeoutMs: 1000})).toBe('refused');
 });
--- a/src/transport/probe-address.ts
+++ b/src/transport/probe-address.ts
@@ -6,12 +6,12 @@
 import {connect} from 'node:net';
 
 /** Result of opening a connection: accepted, refused, or no response or another error (`silent`). */
-export type ProbeVerdict = 'open' | 'refused' | 'silent';
+export type ProbeResult = 'open' | 'refused' | 'silent';
 
 /** Options of {@linkcode probeAddress}. */
 export type ProbeAddressOptions = {
 	/** How long to wait for a response, in milliseconds. */
-	readonly timeout: number;
+	readonly timeoutMs: number;
 };
 
 /**
@@ -21,25 +21,25 @@
  *
  * @example
  * ```ts
- * await probeAddress('10.1.0.15:8242', {timeout: 100}); // 'refused'
+ * await probeAddress('10.1.0.15:8242', {timeoutMs: 100}); // 'refused'
  * ```
  *
  * @param address IP address and port
  * @param options The timeout
  * @returns Whether the connection was accepted, refused or not answered
  */
-export async function probeAddress(address: string, {timeout}: ProbeAddressOptions): Promise<ProbeVerdict> {
+export async function probeAddress(address: string, {timeoutMs}: ProbeAddressOptions): Promise<ProbeResult> {
 	const {hostname, port} = new URL(`http://${address}`);
 	const socket = connect(Number(port), hostname);
 	try {
-		return await new Promise<ProbeVerdict>(resolve => {
+		return await new Promise<ProbeResult>(resolve => {
 			socket.once('connect', () => {
 				resolve('open');
 			});
 			socket.once('error', (error: NodeJS.ErrnoException) => {
 				resolve(error.code === 'ECONNREFUSED' ? 'refused' : 'silent');
 			});
-			socket.setTimeout(timeout, () => {
+			socket.setTimeout(timeoutMs, () => {
 				resolve('silent');
 			});
 		});
--- a/src/transport/service-client.ts
+++ b/src/transport/service-client.ts
@@ -17,7 +17,7 @@
 	readonly service: string;
 	readonly body: Uint8Array;
 	/** Milliseconds until the caller's deadline. */
-	readonly timeout: number;
+	readonly timeoutMs: number;
 };
 
 /** Client of a plain service on one host. */
@@ -50,7 +50,7 @@
  *
  * @example
  * ```ts
- * const response = await createServiceClient('http://127.0.0.1:8100').call({service: 'slots', body, timeout: 5000});
+ * const response = await createServiceClient('http://127.0.0.1:8100').call({service: 'slots', body, timeoutMs: 5000});
  * ```
  *
  * @param url URL of the service
@@ -62,7 +62,7 @@
 		async call(call) {
 			try {
 				const response = await request(`${url}/v1/services/${call.service}`, {
-					method: 'POST', dispatcher, body: Buffer.from(call.body), signal: AbortSignal.timeout(Math.ceil(call.timeout)),
+					method: 'POST', dispatcher, body: Buffer.from(call.body), signal: AbortSignal.timeout(Math.ceil(call.timeoutMs)),
 					headers: {'content-type': 'application/json'},
 				});
 				return Ok({status: response.statusCode, body: new Uint8Array(await response.body.arrayBuffer())});
--- a/src/transport/upstream-client.test.ts
+++ b/src/transport/upstream-client.test.ts
@@ -30,7 +30,7 @@
 
 function buildCall(address: string, shouldUseNewConnection: boolean): UpstreamCall {
 	return {
-		address, method: 'GET', path: '/', headers: [], body: undefined, signal: new AbortController().signal, isAlone: shouldUseNewConnection, isStillWanted: () => true,
+		address, method: 'GET', path: '/', headers: [], body: undefined, signal: new AbortController().signal, shouldUseNewConnection, shouldStillSend: () => true,
 	};
 }
 
@@ -44,7 +44,7 @@
 }
 
 async function readBody(address: string, shouldUseNewConnection: boolean): Promise<string> {
-	const client = createUpstreamClient({connectTimeout: 500, connections: 2});
+	const client = createUpstreamClient({connectTimeoutMs: 500, maxConnections: 2});
 	closers.push(() => {
 		void client.close();
 	});
@@ -97,7 +97,7 @@
 		close();
 	}
 
-	const client = createUpstreamClient({connectTimeout: 500, connections: 2});
+	const client = createUpstreamClient({connectTimeoutMs: 500, maxConnections: 2});
 	const result = await client.call(buildCall(address, false));
 	expect(result.err && result.val.kind).toBe('unsent');
 	await client.close();
@@ -107,7 +107,7 @@
 	const address = await serve(socket => {
 		socket.destroy();
 	});
-	const client = createUpstreamClient({connectTimeout: 500, connections: 2});
+	const client = createUpstreamClient({connectTimeoutMs: 500, maxConnections: 2});
 	const result = await client.call(buildCall(address, true));
 	expect(result.err && result.val.kind).toBe('broken');
 	await client.close();
@@ -131,7 +131,7 @@
 	});
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
-	const client = createUpstreamClient({connectTimeout: 500, connections: 1});
+	const client = createUpstreamClient({connectTimeoutMs: 500, maxConnections: 1});
 	closers.push(() => server.close(), () => {
 		void client.close();
 	});
@@ -151,7 +151,7 @@
 	// engine leaves the fleet in the meantime but still receives the request.
 	const {client, address, requests, first, release} = await keepConnectionBusy();
 	let isListed = true;
-	const second = client.call({...buildCall(address, false), isStillWanted: () => isListed});
+	const second = client.call({...buildCall(address, false), shouldStillSend: () => isListed});
 	isListed = false;
 	release();
 	await readText(await first);
--- a/src/transport/upstream-client.ts
+++ b/src/transport/upstream-client.ts
@@ -25,16 +25,16 @@
 	/** Aborts the call. */
 	readonly signal: AbortSignal;
 	/** Opens a new connection for this call; for requests that may not be repeated. */
-	readonly isAlone: boolean;
+	readonly shouldUseNewConnection: boolean;
 	/** Checked once a connection is available, possibly seconds after the call; false aborts the call unsent. */
-	readonly isStillWanted: () => boolean;
+	readonly shouldStillSend: () => boolean;
 };
 
 /** Why a call got no response: `unsent` if nothing was sent, `broken` if the upstream may have run the request. */
 export type CallFailure = {readonly kind: 'unsent' | 'broken'; readonly detail: string};
 
 /** A response whose headers have arrived. */
-export type UpstreamAnswer = {
+export type UpstreamResponse = {
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
 	readonly rawHeaders: RawHeaders;
@@ -46,16 +46,16 @@
 
 /** HTTP client for upstreams. */
 export type UpstreamClient = {
-	readonly call: (call: UpstreamCall) => Promise<Result<UpstreamAnswer, CallFailure>>;
+	readonly call: (call: UpstreamCall) => Promise<Result<UpstreamResponse, CallFailure>>;
 	readonly close: () => Promise<void>;
 };
 
 /** Options of {@linkcode createUpstreamClient}. */
 export type CreateUpstreamClientOptions = {
 	/** Time limit in milliseconds for opening a connection; an unreachable upstream does not answer the SYN packet. */
-	readonly connectTimeout: number;
+	readonly connectTimeoutMs: number;
 	/** Maximum number of connections to one upstream; calls that open their own connection are not counted. */
-	readonly connections: number;
+	readonly maxConnections: number;
 };
 
 /** The upstream is paused while more than this many bytes are buffered for a slow reader. */
@@ -170,8 +170,8 @@
  *
  * @example
  * ```ts
- * const client = createUpstreamClient({connectTimeout: 400, connections: 64});
- * const response = await client.call({address: '127.0.0.1:8080', method: 'GET', path: '/', headers: [], body: undefined, signal, isAlone: false, isStillWanted: () => true});
+ * const client = createUpstreamClient({connectTimeoutMs: 400, maxConnections: 64});
+ * const response = await client.call({address: '127.0.0.1:8080', method: 'GET', path: '/', headers: [], body: undefined, signal, shouldUseNewConnection: false, shouldStillSend: () => true});
  * ```
  *
  * @param options Limits on connections
@@ -179,14 +179,14 @@
  */
 export function createUpstreamClient(options: CreateUpstreamClientOptions): UpstreamClient {
 	const resetDetector = createResetDetector();
-	const connect = resetDetector.watch(buildConnector({timeout: options.connectTimeout, allowHalfOpen: true}));
+	const connect = resetDetector.watch(buildConnector({timeout: options.connectTimeoutMs, allowHalfOpen: true}));
 	// The response timeouts of undici are disabled: each call is limited by its own signal.
 	const clientOptions = {
 		connect, pipelining: 1, headersTimeout: 0, bodyTimeout: 0,
 	};
-	const agent = new Agent({...clientOptions, connections: options.connections});
+	const agent = new Agent({...clientOptions, connections: options.maxConnections});
 
-	async function dispatch(dispatcher: Dispatcher, call: UpstreamCall, onClosed: () => void): Promise<Result<UpstreamAnswer, CallFailure>> {
+	async function dispatch(dispatcher: Dispatcher, call: UpstreamCall, onClosed: () => void): Promise<Result<UpstreamResponse, CallFailure>> {
 		return new Promise(resolve => {
 			let controller: Dispatcher.DispatchController | undefined;
 			let queue: ReturnType<typeof createChunkQueue> | undefined;
@@ -215,7 +215,7 @@
 				onRequestStart(started) {
 					// Nothing has been written yet. The upstream was selected before the request queued for a connection, and may
 					// have left the fleet since.
-					if (call.signal.aborted || !call.isStillWanted()) {
+					if (call.signal.aborted || !call.shouldStillSend()) {
 						started.abort(new Error('The call was aborted before it was sent'));
 						return;
 					}
@@ -243,14 +243,14 @@
 			};
 			call.signal.addEventListener('abort', abortCall);
 			dispatcher.dispatch({
-				origin: `http://${call.address}`, method: call.method, path: call.path, headers: call.headers, body: call.body, reset: call.isAlone,
+				origin: `http://${call.address}`, method: call.method, path: call.path, headers: call.headers, body: call.body, reset: call.shouldUseNewConnection,
 			}, handler);
 		});
 	}
 
 	return {
 		async call(call) {
-			if (!call.isAlone) {
+			if (!call.shouldUseNewConnection) {
 				return dispatch(agent, call, () => undefined);
 			}
 
--- a/tools/measure/budget-world.ts
+++ b/tools/measure/budget-world.ts
@@ -83,10 +83,10 @@
 				},
 				async read(from, options = {}) {
 					await time.sleep(hopSpan);
-					if (from >= entries.length && (options.wait ?? 0) > 0 && !isAway(daemon)) {
+					if (from >= entries.length && (options.waitMs ?? 0) > 0 && !isAway(daemon)) {
 						await Promise.race([new Promise<void>(resolve => {
 							waiters.add(resolve);
-						}), time.sleep(options.wait!)]);
+						}), time.sleep(options.waitMs!)]);
 					}
 
 					return isAway(daemon)
--- a/tools/prove/unguarded/engine-client-that-waits.ts
+++ b/tools/prove/unguarded/engine-client-that-waits.ts
@@ -8,5 +8,5 @@
 export * from '../../../src/transport/engine-client.js';
 
 export function createEngineClient(options: CreateEngineClientOptions): EngineClient {
-	return createGuarded({...options, silence: 0});
+	return createGuarded({...options, idleTimeoutMs: 0});
 }
--- a/tools/prove/unguarded/log-client-that-waits.ts
+++ b/tools/prove/unguarded/log-client-that-waits.ts
@@ -10,5 +10,5 @@
 const longWait = 1_000_000;
 
 export function createLogClient(options: CreateLogClientOptions): LogClient {
-	return createGuarded({...options, timeout: longWait});
+	return createGuarded({...options, timeoutMs: longWait});
 }
