--- a/src/daemon.ts
+++ b/src/daemon.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `fireflylaned`: one daemon, an entry or an upstream daemon by its settings.
+ * `fireflylaned`: runs one daemon, whose role is given by its settings.
  *
  * @module
  */
--- a/src/daemon/caller-answer.test.ts
+++ b/src/daemon/caller-answer.test.ts
@@ -4,9 +4,9 @@
 import type {GatewayWire} from '../protocol/mod.js';
 import {createCallerAnswer} from './caller-answer.js';
 
-test('writes that wait for a slow reader leave no listeners behind', async () => {
-	// A gateway's memory grows with each event of a stream whose caller reads
-	// slowly: each wait left two listeners on the answer.
+test('writes that wait for a slow reader remove their listeners', async () => {
+	// Guards against a memory leak in gateways: each wait for a caller that reads
+	// slowly left two listeners on the response.
 	const response = Object.assign(new PassThrough(), {
 		write() {
 			setImmediate(() => response.emit('drain'));
--- a/src/daemon/caller-answer.ts
+++ b/src/daemon/caller-answer.ts
@@ -1,5 +1,5 @@
 /**
- * The way back to a caller over an HTTP response.
+ * Writes the answer to a caller to an HTTP response.
  *
  * @module
  */
@@ -10,19 +10,19 @@
 	failureTable, formatProblem, type Failure, type GatewayWire,
 } from '../protocol/mod.js';
 
-/** @internal Waits until the caller has read on or left; each wait takes its listeners away, as a long stream waits often. */
-async function waitForReader(response: ServerResponse): Promise<void> {
-	const over = new AbortController();
-	const {signal} = over;
+/** @internal Waits until buffered data has been sent or the caller has disconnected. Removes its listeners, as a long stream waits many times. */
+async function waitUntilDrained(response: ServerResponse): Promise<void> {
+	const stopListening = new AbortController();
+	const {signal} = stopListening;
 	try {
 		await Promise.race([once(response, 'drain', {signal}), once(response, 'close', {signal})]);
 	} finally {
-		over.abort();
+		stopListening.abort();
 	}
 }
 
 /**
- * Creates the way back to a caller.
+ * Creates an answer that is written to an HTTP response.
  *
  * @example
  * ```ts
@@ -30,8 +30,8 @@
  * ```
  *
  * @param response The response; nothing may have been written to it
- * @param wire Names on the wire
- * @returns The way back
+ * @param wire Wire format of the headers
+ * @returns The answer
  */
 export function createCallerAnswer(response: ServerResponse, wire: GatewayWire): CallerAnswer {
 	return {
@@ -40,7 +40,7 @@
 			response.writeHead(status, [...headers]);
 			response.flushHeaders();
 		},
-		write: async bytes => response.write(bytes) || response.destroyed ? undefined : waitForReader(response),
+		write: async bytes => response.write(bytes) || response.destroyed ? undefined : waitUntilDrained(response),
 		end(bytes) {
 			response.end(bytes);
 		},
@@ -53,8 +53,8 @@
 			}
 
 			const body = JSON.stringify(formatProblem(failure));
-			const again = failure.retryAfterMs === undefined ? [] : wire.formatRetryAfter(failure.retryAfterMs);
-			response.writeHead(failureTable[failure.type].status, ['Content-Type', 'application/problem+json', 'Content-Length', String(body.length), ...again]);
+			const retryAfterHeader = failure.retryAfterMs === undefined ? [] : wire.formatRetryAfter(failure.retryAfterMs);
+			response.writeHead(failureTable[failure.type].status, ['Content-Type', 'application/problem+json', 'Content-Length', String(body.length), ...retryAfterHeader]);
 			response.end(body);
 		},
 	};
--- a/src/daemon/caller-identity.ts
+++ b/src/daemon/caller-identity.ts
@@ -1,5 +1,5 @@
 /**
- * Who calls, with which rights, name and deadline.
+ * Authenticates callers, and checks the headers of their requests.
  *
  * @module
  */
@@ -10,23 +10,28 @@
 } from '../protocol/mod.js';
 import type {Clock} from '../transport/mod.js';
 
-/** A caller whose headers were checked. */
+/** An authenticated caller with the checked headers of its request. */
 export type Caller = {
 	readonly key: CallerKey;
 	readonly class: string;
 	readonly priority: number;
-	readonly requestId: (target: string) => string;
+	/** Computes the request's ID. It is the same each time that the customer sends the same idempotency key to the same target. */
+	readonly createRequestId: (target: string) => string;
+	/** True if the caller gave an idempotency key. */
 	readonly isKeyed: boolean;
+	/** Clock time, in milliseconds. */
 	readonly deadline: number;
+	/** Aborted when the caller disconnects before the response is complete. */
 	readonly signal: AbortSignal;
+	/** Clock time, in milliseconds. */
 	readonly startedAt: number;
 };
 
 /** Options of {@linkcode createCallerIdentity}. */
 export type CreateCallerIdentityOptions = {
 	readonly self: Self;
-	/** True late in a stop, when the balancer has had time to see that this entry is not ready. */
-	readonly refusesNew: () => boolean;
+	/** Returns true late in a stop, when the load balancer has had time to notice that this entry daemon is not ready. */
+	readonly isRefusingNew: () => boolean;
 	readonly settings: EntrySettings['requests'];
 	readonly follower: LogFollower;
 	readonly clock: Clock;
@@ -34,7 +39,7 @@
 
 const defaultClass = 'default';
 const defaultPriority = 5;
-const longestKey = 256;
+const maxIdempotencyKeyLength = 256;
 
 /** @internal */
 function readHeader(request: IncomingMessage, name: string): string | undefined {
@@ -43,7 +48,7 @@
 }
 
 /**
- * Creates the check of callers' headers.
+ * Creates the authentication of callers.
  *
  * @example
  * ```ts
@@ -51,7 +56,7 @@
  * ```
  *
  * @param options Configuration, settings and clock
- * @returns The check
+ * @returns The function that identifies the caller of a request
  */
 export function createCallerIdentity(options: CreateCallerIdentityOptions) {
 	const {self, settings, follower, clock} = options;
@@ -68,24 +73,24 @@
 			return Ok(clock.now() + settings.deadline);
 		}
 
-		const span = parseDuration(header);
-		return span === undefined || span <= 0
-			? Err(createFailure('invalid-request', `Header "x-deadline" has "${header}": write a span of time such as 2500ms or 30s`))
-			: Ok(clock.now() + Math.min(span, settings.longestDeadline));
+		const durationMs = parseDuration(header);
+		return durationMs === undefined || durationMs <= 0
+			? Err(createFailure('invalid-request', `Header "x-deadline" is "${header}"; expected a duration such as 2500ms or 30s`))
+			: Ok(clock.now() + Math.min(durationMs, settings.longestDeadline));
 	}
 
-	function watchCaller(response: ServerResponse): AbortSignal {
-		const left = new AbortController();
+	function createDisconnectSignal(response: ServerResponse): AbortSignal {
+		const disconnected = new AbortController();
 		response.on('close', () => {
 			if (!response.writableFinished) {
-				left.abort();
+				disconnected.abort();
 			}
 		});
-		return left.signal;
+		return disconnected.signal;
 	}
 
 	function identifyCaller(request: IncomingMessage, response: ServerResponse): Result<Caller, Failure> {
-		if (options.refusesNew()) {
+		if (options.isRefusingNew()) {
 			return Err(createFailure('leaving', `Entry daemon "${self.id}" is stopping`, {retryAfterMs: 1000}));
 		}
 
@@ -104,8 +109,8 @@
 		}
 
 		const idempotencyKey = readHeader(request, 'idempotency-key');
-		if (idempotencyKey !== undefined && (idempotencyKey === '' || idempotencyKey.length > longestKey)) {
-			return Err(createFailure('invalid-request', `Header "idempotency-key" has ${idempotencyKey.length} characters: write 1 to ${longestKey}`));
+		if (idempotencyKey !== undefined && (idempotencyKey === '' || idempotencyKey.length > maxIdempotencyKeyLength)) {
+			return Err(createFailure('invalid-request', `Header "idempotency-key" has ${idempotencyKey.length} characters; expected 1 to ${maxIdempotencyKeyLength}`));
 		}
 
 		const {configuration} = follower.state();
@@ -116,9 +121,9 @@
 			class: requestClass ? className : defaultClass,
 			priority: requestClass?.priority ?? configuration.findCustomer(key.customer)?.priority ?? defaultPriority,
 			isKeyed: idempotencyKey !== undefined,
-			requestId: target => computeRequestId(key.customer, idempotencyKey ?? createId('once'), {target}),
+			createRequestId: target => computeRequestId(key.customer, idempotencyKey ?? createId('once'), {target}),
 			deadline: deadline.val,
-			signal: watchCaller(response),
+			signal: createDisconnectSignal(response),
 			startedAt: clock.now(),
 		});
 	}
--- a/src/daemon/caller-interface.test.ts
+++ b/src/daemon/caller-interface.test.ts
@@ -10,7 +10,7 @@
 import {waitUntilIdle} from './wait-until-idle.js';
 
 const clock = createSystemClock();
-/** Larger than what the system buffers for one connection, so that a part waits in the process. */
+/** Larger than the operating system's buffer for one connection, so that a part stays in the process. */
 const answerBytes = 32 * 1_048_576;
 
 const service = {
@@ -23,19 +23,19 @@
 	findService: () => service,
 };
 
-function createCallers(answer: Uint8Array) {
+function createCallers(body: Uint8Array) {
 	return createCallerInterface({
 		self: {
 			id: 'entry-1', role: 'entry', incarnation: 'i-1', isLeaving: false,
 		},
-		refusesNew: () => false,
+		isRefusingNew: () => false,
 		settings: entrySettingsSchema.shape.requests.parse({}),
 		follower: {isReady: () => true, state: () => ({configuration})} as unknown as LogFollower,
 		router: {
 			async * run() {
-				yield answer;
+				yield body;
 				return Ok({
-					chunks: 1, length: answer.length, digest: '', promptTokens: 0, completionTokens: 0, billed: [], finishReason: 'stop', status: 200,
+					chunks: 1, length: body.length, digest: '', promptTokens: 0, completionTokens: 0, billed: [], finishReason: 'stop', status: 200,
 				});
 			},
 		} satisfies RequestRouter,
@@ -54,7 +54,7 @@
 	return socket;
 }
 
-// Reads on until the server has closed the connection.
+// Reads until the server closes the connection.
 async function countBytes(socket: Socket): Promise<number> {
 	let bytes = 0;
 	socket.on('data', (data: Uint8Array) => {
@@ -64,16 +64,16 @@
 	try {
 		await once(socket, 'close');
 	} catch {
-		// A reset connection: what came before it counts.
+		// The connection was reset. The bytes received before count.
 	}
 
 	return bytes;
 }
 
-// A caller on a thin line gets half of a long answer: the whole of it had been
-// written when the entry was told to stop, but a part still waited in the
-// entry for the caller to read on. The request no longer counted as running, so
-// the stop went on and closed the connection over that part.
+// Guards against a truncated answer. A caller on a slow connection received half
+// of a long answer: all of it had been written when the entry daemon was told to
+// stop, but a part was still buffered in the process. The request no longer
+// counted as running, so the stop closed the connection before that part was sent.
 test('a stop waits until a slow caller has been sent its whole answer', {timeout: 15_000}, async () => {
 	const callers = createCallers(Buffer.alloc(answerBytes, ' '));
 	const server = await startHttpServer({host: '127.0.0.1', port: 0}, callers.addRoutes);
--- a/src/daemon/caller-interface.ts
+++ b/src/daemon/caller-interface.ts
@@ -1,5 +1,6 @@
 /**
- * What an entry daemon answers callers: chat completions and plain services.
+ * HTTP interface of an entry daemon for callers: chat completions and plain
+ * services.
  *
  * @module
  */
@@ -26,8 +27,8 @@
 /** Options of {@linkcode createCallerInterface}. */
 export type CreateCallerInterfaceOptions = {
 	readonly self: Self;
-	/** True late in a stop, when the balancer has had time to see that this entry is not ready. */
-	readonly refusesNew: () => boolean;
+	/** Returns true late in a stop, when the load balancer has had time to notice that this entry daemon is not ready. */
+	readonly isRefusingNew: () => boolean;
 	readonly settings: EntrySettings['requests'];
 	readonly follower: LogFollower;
 	readonly router: RequestRouter;
@@ -36,11 +37,13 @@
 	readonly events: EventLog;
 };
 
+/** Clock times of the first and the latest chunk, and the longest time between two chunks. */
 type Timing = {firstAt?: number; lastAt?: number; gapMs: number};
 
-const patience = 5000;
-const prefixLength = 512;
-const keepAliveEvery = 5000;
+const tokenTimeoutMs = 5000;
+/** Length of the prompt prefix by which similar prompts are routed to the same upstream daemon. */
+const prefixCharacters = 512;
+const keepAliveIntervalMs = 5000;
 
 /**
  * Creates the routes for callers.
@@ -51,7 +54,7 @@
  * ```
  *
  * @param options Log, router and metrics
- * @returns The routes, and the count of running requests
+ * @returns The routes, and a function that counts the running requests
  */
 export function createCallerInterface(options: CreateCallerInterfaceOptions) {
 	const {
@@ -71,14 +74,14 @@
 		}
 	}
 
-	function noteServed(caller: Caller, timing: Timing, end: AnswerEnd): void {
+	function recordServed(caller: Caller, timing: Timing, end: AnswerEnd): void {
 		const now = clock.now();
 		metrics.recordServed({customer: caller.key.customer, class: caller.class}, {
 			firstMs: (timing.firstAt ?? now) - caller.startedAt, totalMs: now - caller.startedAt, gapMs: timing.gapMs, tokens: end.promptTokens + end.completionTokens,
 		});
 	}
 
-	function noteChunk(timing: Timing): void {
+	function recordChunk(timing: Timing): void {
 		const now = clock.now();
 		timing.firstAt ??= now;
 		timing.gapMs = Math.max(timing.gapMs, now - (timing.lastAt ?? now));
@@ -102,7 +105,7 @@
 		}));
 		/* eslint-enable @typescript-eslint/naming-convention */
 		return Ok({
-			requestId: caller.requestId(chat.model),
+			requestId: caller.createRequestId(chat.model),
 			isKeyed: caller.isKeyed,
 			work: Work.MODEL,
 			target: chat.model,
@@ -111,17 +114,17 @@
 			worstCase: computeMaxPromptTokens(chat) + maxTokens,
 			priority: caller.priority,
 			payload,
-			prefix: computeDigest(JSON.stringify(chat.messages).slice(0, prefixLength)),
+			prefix: computeDigest(JSON.stringify(chat.messages).slice(0, prefixCharacters)),
 			deadline: caller.deadline,
-			patience,
+			patience: tokenTimeoutMs,
 			signal: caller.signal,
 		});
 	}
 
-	// Collects a whole answer, or returns why there is none.
-	async function collect(call: RoutedCall, onChunk: (chunk: Uint8Array) => void): Promise<Result<AnswerEnd, Failure>> {
-		const run = router.run(call);
-		for (let item = await run.next(); ; item = await run.next()) {
+	// Passes each chunk of the answer to `onChunk`, and returns the end of the answer or the failure.
+	async function runCall(call: RoutedCall, onChunk: (chunk: Uint8Array) => void): Promise<Result<AnswerEnd, Failure>> {
+		const chunks = router.run(call);
+		for (let item = await chunks.next(); ; item = await chunks.next()) {
 			if (item.done) {
 				return item.value;
 			}
@@ -130,16 +133,16 @@
 		}
 	}
 
-	async function answerWhole(call: RoutedCall, caller: Caller, response: ServerResponse): Promise<void> {
+	async function sendWholeResponse(call: RoutedCall, caller: Caller, response: ServerResponse): Promise<void> {
 		const chunks: ChatChunk[] = [];
 		const timing: Timing = {gapMs: 0};
-		// The caller has seen nothing yet, so a run lost half-way may be replaced by another.
-		const restart = () => {
+		// Nothing has been sent to the caller yet, so another run may replace one that is lost part-way.
+		const discardChunks = () => {
 			chunks.length = 0;
 		};
 
-		const result = await collect({...call, discardChunks: restart}, chunk => {
-			noteChunk(timing);
+		const result = await runCall({...call, discardChunks}, chunk => {
+			recordChunk(timing);
 			chunks.push(parseChunk(chunk));
 		});
 		if (result.err) {
@@ -147,23 +150,23 @@
 			return;
 		}
 
-		noteServed(caller, timing, result.val);
+		recordServed(caller, timing, result.val);
 		sendJson(response, formatCompletion({id: call.requestId, model: call.target}, {chunks, end: result.val}));
 	}
 
-	// Comments keep a quiet stream's connection known to whatever stands between.
+	// Sends comments while a stream has no new events, so that proxies do not close its connection as idle.
 	function startKeepAlive(response: ServerResponse): () => void {
 		const timer = setInterval(() => {
 			if (response.headersSent) {
 				response.write(': waiting\n\n');
 			}
-		}, keepAliveEvery);
+		}, keepAliveIntervalMs);
 		return () => {
 			clearInterval(timer);
 		};
 	}
 
-	// A stream that has begun cannot change its status any more: the failure is its last event, and `[DONE]` is not sent.
+	// The status of a started stream cannot change. A failure is sent as the last event instead, without `[DONE]`.
 	function endStream(response: ServerResponse, result: Result<AnswerEnd, Failure>, caller: Caller): void {
 		if (result.ok) {
 			response.end('data: [DONE]\n\n');
@@ -174,16 +177,16 @@
 		response.end(`data: ${JSON.stringify({error: formatProblem(result.val)})}\n\n`);
 	}
 
-	async function answerStream(call: RoutedCall, caller: Caller, {response, wantsUsage}: {response: ServerResponse; wantsUsage: boolean}): Promise<void> {
+	async function sendStreamResponse(call: RoutedCall, caller: Caller, {response, shouldIncludeUsage}: {response: ServerResponse; shouldIncludeUsage: boolean}): Promise<void> {
 		const timing: Timing = {gapMs: 0};
 		const stopKeepAlive = startKeepAlive(response);
-		const result = await collect(call, chunk => {
-			noteChunk(timing);
+		const result = await runCall(call, chunk => {
+			recordChunk(timing);
 			if (!response.headersSent) {
 				response.writeHead(200, {'content-type': 'text/event-stream', 'cache-control': 'no-store'});
 			}
 
-			const text = formatStreamEvent(parseChunk(chunk), {wantsUsage});
+			const text = formatStreamEvent(parseChunk(chunk), {shouldIncludeUsage});
 			if (text !== undefined) {
 				response.write(text);
 			}
@@ -195,13 +198,13 @@
 		}
 
 		if (result.ok) {
-			noteServed(caller, timing, result.val);
+			recordServed(caller, timing, result.val);
 		}
 
 		endStream(response, result, caller);
 	}
 
-	async function answerChat(request: IncomingMessage, response: ServerResponse): Promise<void> {
+	async function handleChat(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		const caller = identifyCaller(request, response);
 		if (caller.err) {
 			refuse(response, caller.val);
@@ -216,7 +219,9 @@
 			return;
 		}
 
-		await (chat.val.stream ? answerStream(call.val, caller.val, {response, wantsUsage: chat.val.stream_options?.include_usage === true}) : answerWhole(call.val, caller.val, response));
+		await (chat.val.stream
+			? sendStreamResponse(call.val, caller.val, {response, shouldIncludeUsage: chat.val.stream_options?.include_usage === true})
+			: sendWholeResponse(call.val, caller.val, response));
 	}
 
 	function buildServiceCall(caller: Caller, name: string, payload: Uint8Array): Result<RoutedCall, Failure> {
@@ -231,7 +236,7 @@
 		}
 
 		return Ok({
-			requestId: caller.requestId(name),
+			requestId: caller.createRequestId(name),
 			isKeyed: caller.isKeyed,
 			work: Work.SERVICE,
 			target: name,
@@ -242,13 +247,13 @@
 			payload,
 			prefix: '',
 			deadline: caller.deadline,
-			patience,
-			// A call that may not be repeated goes on when its caller has left, and waits for the caller's retry.
+			patience: tokenTimeoutMs,
+			// A non-idempotent call continues after its caller has disconnected; the caller's retry receives its answer.
 			signal: service.idempotent ? caller.signal : new AbortController().signal,
 		});
 	}
 
-	async function answerService(request: IncomingMessage, response: ServerResponse, name: string): Promise<void> {
+	async function handleService(request: IncomingMessage, response: ServerResponse, name: string): Promise<void> {
 		const caller = identifyCaller(request, response);
 		if (caller.err) {
 			refuse(response, caller.val);
@@ -263,7 +268,7 @@
 		}
 
 		const chunks: Uint8Array[] = [];
-		const result = await collect(call.val, chunk => {
+		const result = await runCall(call.val, chunk => {
 			chunks.push(chunk);
 		});
 		if (result.err) {
@@ -271,23 +276,24 @@
 			return;
 		}
 
-		noteServed(caller.val, {gapMs: 0}, result.val);
+		recordServed(caller.val, {gapMs: 0}, result.val);
 		response.writeHead(result.val.status, {'content-type': 'application/json'});
 		response.end(Buffer.concat(chunks));
 	}
 
-	// Counts the request until its answer has been handed to the system, for a stop that cuts none.
-	async function track(request: IncomingMessage, response: ServerResponse, answer: Promise<void>): Promise<void> {
+	// Counts the request as running until its response has been handed to the operating system, so that a stop does not
+	// truncate it.
+	async function trackRequest(request: IncomingMessage, response: ServerResponse, handling: Promise<void>): Promise<void> {
 		running.add(response);
 		if (self.isLeaving) {
 			response.setHeader('connection', 'close');
 		}
 
 		try {
-			await answer;
+			await handling;
 			await waitUntilSent(request, response);
 		} catch (error) {
-			refuse(response, createFailure('internal', `The daemon failed: ${(error as Error).message}`, {ran: 'unknown'}));
+			refuse(response, createFailure('internal', `The entry daemon failed to handle the request: ${(error as Error).message}`, {ran: 'unknown'}));
 			response.destroy();
 		} finally {
 			running.delete(response);
@@ -296,8 +302,8 @@
 
 	return {
 		addRoutes(service: restana.Service<restana.Protocol.HTTP>): void {
-			service.post('/v1/chat/completions', async (request, response) => track(request, response, answerChat(request, response)));
-			service.post('/v1/services/:name', async (request, response) => track(request, response, answerService(request, response, request.params.name ?? '')));
+			service.post('/v1/chat/completions', async (request, response) => trackRequest(request, response, handleChat(request, response)));
+			service.post('/v1/services/:name', async (request, response) => trackRequest(request, response, handleService(request, response, request.params.name ?? '')));
 			service.get('/v1/models', (_request, response) => {
 				const data = [...follower.state().configuration.listModels()].map(model => ({id: model.name, object: 'model'}));
 				sendJson(response, {object: 'list', data});
@@ -313,7 +319,7 @@
 				if (follower.isReady() && !self.isLeaving) {
 					sendJson(response, {ready: true});
 				} else {
-					sendFailure(response, createFailure(self.isLeaving ? 'leaving' : 'not-ready', `Entry daemon "${self.id}" takes no requests`, {retryAfterMs: 1000}));
+					sendFailure(response, createFailure(self.isLeaving ? 'leaving' : 'not-ready', `Entry daemon "${self.id}" does not accept requests`, {retryAfterMs: 1000}));
 				}
 			});
 		},
--- a/src/daemon/chat-answer.ts
+++ b/src/daemon/chat-answer.ts
@@ -1,6 +1,5 @@
 /**
- * Turns an engine's events into what a caller of the chat-completions
- * interface expects.
+ * Converts an engine's events to responses of the chat-completions interface.
  *
  * @module
  */
@@ -8,13 +7,13 @@
 import {chatChunkSchema, type Usage} from '../protocol/mod.js';
 import type {AnswerEnd} from '../state/mod.js';
 
-/** One streamed event, parsed. */
+/** A parsed event of an engine's stream. */
 export type ChatChunk = ReturnType<typeof parseChunk>;
 
 /** Options of {@linkcode formatStreamEvent}. */
 export type FormatStreamEventOptions = {
-	/** True when the caller asked for usage in its stream. */
-	readonly wantsUsage: boolean;
+	/** True if the caller requested usage in its stream. */
+	readonly shouldIncludeUsage: boolean;
 };
 
 /**
@@ -25,7 +24,7 @@
  * parseChunk(Buffer.from('{"choices": []}')).choices.length; // 0
  * ```
  *
- * @param chunk Bytes of one engine event
+ * @param chunk Bytes of one event
  * @returns The event
  */
 export function parseChunk(chunk: Uint8Array) {
@@ -33,7 +32,7 @@
 }
 
 /**
- * Formats one event for a streaming caller.
+ * Formats one event for a caller that streams.
  *
  * @example
  * ```ts
@@ -41,32 +40,32 @@
  * ```
  *
  * @param chunk The engine's event
- * @param options Whether usage is wanted
- * @returns Server-sent event text, or undefined when the event is not for the caller
+ * @param options Whether usage is included
+ * @returns Text of a server-sent event, or undefined if the event is not sent to the caller
  */
 export function formatStreamEvent(chunk: ChatChunk, options: FormatStreamEventOptions): string | undefined {
 	const isUsageOnly = chunk.choices.length === 0;
-	if (isUsageOnly && !options.wantsUsage) {
+	if (isUsageOnly && !options.shouldIncludeUsage) {
 		return undefined;
 	}
 
-	// The engine is asked for usage on each event, to bill a cut stream; callers expect it on the last one only.
+	// The engine sends usage with each event, so that a truncated stream can be billed. Callers expect it only in the last event.
 	const event = isUsageOnly ? chunk : {...chunk, usage: undefined};
 	return `data: ${JSON.stringify(event)}\n\n`;
 }
 
 /**
- * Counts the tokens of an answer.
+ * Formats the token counts of an answer.
  *
  * @example
  * ```ts
- * countUsage(end).total_tokens;
+ * formatUsage(end).total_tokens;
  * ```
  *
  * @param end The answer's end
- * @returns Usage as callers receive it
+ * @returns Usage in the format of the chat-completions interface
  */
-export function countUsage(end: AnswerEnd): Usage {
+export function formatUsage(end: AnswerEnd): Usage {
 	return {
 		/* eslint-disable @typescript-eslint/naming-convention */
 		prompt_tokens: end.promptTokens,
@@ -76,18 +75,18 @@
 	};
 }
 
-/** What identifies an answer. */
+/** ID and model of an answer. */
 export type AnswerHead = {readonly id: string; readonly model: string};
 
 /**
- * Formats a whole answer for a caller that does not stream.
+ * Formats a complete answer for a caller that does not stream.
  *
  * @example
  * ```ts
- * formatCompletion({id, model}, chunks, end);
+ * formatCompletion({id, model}, {chunks, end});
  * ```
  *
- * @param head The answer's identity and model
+ * @param head The answer's ID and model
  * @param chunks All events of the engine
  * @param end The answer's end
  * @returns The chat completion
@@ -105,6 +104,6 @@
 			// eslint-disable-next-line @typescript-eslint/naming-convention
 			finish_reason: end.finishReason,
 		}],
-		usage: countUsage(end),
+		usage: formatUsage(end),
 	};
 }
--- a/src/daemon/whole-path.test.ts
+++ b/src/daemon/end-to-end.test.ts
@@ -34,9 +34,9 @@
 });
 
 async function post(body: string, headers: Record<string, string> = {}): Promise<{status: number; problem: Problem}> {
-	const answer = await fetch(`${callers}/v1/chat/completions`, {method: 'POST', body, headers: {authorization: `Bearer ${key}`, ...headers}});
-	expect(answer.headers.get('content-type')).toBe('application/problem+json');
-	return {status: answer.status, problem: await answer.json() as Problem};
+	const response = await fetch(`${callers}/v1/chat/completions`, {method: 'POST', body, headers: {authorization: `Bearer ${key}`, ...headers}});
+	expect(response.headers.get('content-type')).toBe('application/problem+json');
+	return {status: response.status, problem: await response.json() as Problem};
 }
 
 function runCommand(args: readonly string[]) {
@@ -100,7 +100,7 @@
 });
 /* eslint-enable @typescript-eslint/naming-convention */
 
-test('a spent budget is refused with when to come back', async () => {
+test('a request on a spent budget is refused with the time after which to retry', async () => {
 	const answers = [];
 	for (let index = 0; index < 12; index++) {
 		answers.push(await askChat(callers, {key: 'village-key', content: 'answer 20'}));
@@ -134,7 +134,8 @@
 	expect(answer).toMatchObject({status: 422, problem: {type: 'urn:fireflylane:key-reused'}});
 });
 
-// Guards against another request's answer: the key's first request waits for its right to run when the second one comes.
+// Guards against sending another request's answer: the key's first request still waits for its permit when the second
+// one arrives.
 test('an idempotency key used with another body is refused while its first request waits', async () => {
 	const control = `${fleet.log.ready.url}/control`;
 	await fetchDocument(control, {delay: 800});
@@ -146,17 +147,17 @@
 	expect(await first).toMatchObject({status: 200});
 });
 
-test('the operators\' interface refuses a wrong key', async () => {
+test('the operator interface refuses a wrong key', async () => {
 	const answer = await fetch(`${operators}/v1/status`, {headers: {authorization: 'Bearer wrong'}});
 	expect(answer.status).toBe(401);
 });
 
-test('the peers\' interface refuses a caller without the fleet key', async () => {
+test('the peer interface refuses a caller without the fleet key', async () => {
 	const result = spawnSync('curl', ['-s', '-o', '/dev/null', '-w', '%{http_code}', '--http2-prior-knowledge', '-H', 'content-type: application/json', '-d', '{}', `http://${fleet.entries[0]!.process.ready.peers}/fireflylane.Peer/Heartbeat`], {encoding: 'utf8'});
 	expect(result.stdout).toBe('401');
 });
 
-test('the command line shows, plans and confirms', () => {
+test('the command line shows the status and budgets, and plans and confirms an intent', () => {
 	expect(JSON.parse(runCommand(['status', '--json']).stdout)).toMatchObject({daemon: 'entry-1', isReady: true});
 	const file = join(tmpdir(), `intent-${process.pid}.yaml`);
 	writeFileSync(file, 'changes:\n  - {change: top-up, budget: city-budget, tokens: 500}\n');
--- a/src/daemon/entry-daemon.ts
+++ b/src/daemon/entry-daemon.ts
@@ -1,5 +1,5 @@
 /**
- * Wires an entry daemon.
+ * Assembles and starts an entry daemon.
  *
  * @module
  */
@@ -16,14 +16,14 @@
 import {createPeerInterface} from './peer-interface.js';
 import {waitUntilIdle} from './wait-until-idle.js';
 
-/** A lost stream is tried to be resumed for as long as it takes to suspect a peer, and to hear of it again. */
-const resumeFactor = 2;
+/** A broken stream is resumed for as long as it takes to suspect a peer and to hear from it again: twice the suspicion timeout. */
+const resumeTimeoutFactor = 2;
 
-/** How long a stopping entry still takes requests, in milliseconds. */
-const leaveNotice = 1500;
+/** Time during which a stopping entry daemon still accepts requests, so that the load balancer can notice the stop. */
+const leaveNoticeMs = 1500;
 
-/** Parts that measurements and proofs may replace. */
-export type EntryParts = {
+/** Policies that measurements and proofs may replace. */
+export type EntryPolicies = {
 	/** Default {@linkcode AheadGrantPolicy}. */
 	readonly grantPolicy?: GrantPolicy;
 	/** Default {@linkcode PrefixRoutingPolicy}. */
@@ -39,62 +39,62 @@
  * ```
  *
  * @param settings Checked settings
- * @param parts Parts in place of the default ones
+ * @param policies Policies that replace the default ones
  * @returns The running daemon
- * @throws {FailureError} When a secret cannot be read
+ * @throws {FailureError} If a secret cannot be read
  */
-export async function startEntryDaemon(settings: EntrySettings, parts: EntryParts = {}): Promise<RunningDaemon> {
+export async function startEntryDaemon(settings: EntrySettings, policies: EntryPolicies = {}): Promise<RunningDaemon> {
 	const core = createCore(settings);
 	const {
 		self, follower, membership, writer, fleet, clock, events, metrics, signal,
 	} = core;
 	const listMembers = () => follower.state().placement.list();
 	const holder = createGrantHolder();
-	let refusesNew = false;
+	let isRefusingNew = false;
 	const loans = createLoanManager({
-		holder, membership, fleet, clock, events, listMembers, listWaitingAmounts: budget => keeper.listWanted(budget),
+		holder, membership, fleet, clock, events, listMembers, listWaitingAmounts: budget => grantManager.listWanted(budget),
 	});
-	const keeper = createGrantManager({
+	const grantManager = createGrantManager({
 		follower, writer, membership, holder, loans, clock, events,
-		policy: parts.grantPolicy ?? new AheadGrantPolicy({horizonMs: settings.grants.horizon, shortHorizonMs: settings.grants.shortHorizon}),
+		policy: policies.grantPolicy ?? new AheadGrantPolicy({horizonMs: settings.grants.horizon, shortHorizonMs: settings.grants.shortHorizon}),
 		intervalMs: settings.grants.every,
 	});
 	const settler = createSettler({
-		follower, membership, fleet, grantManager: keeper, clock,
+		follower, membership, fleet, grantManager, clock,
 	});
-	const book = createRouteRegistry({membership, failureDomain: settings.failureDomain, listUpstreams: () => follower.state().placement.listUpstreams()});
-	const resumeWithin = settings.heartbeat.suspectAfter * resumeFactor;
+	const routes = createRouteRegistry({membership, failureDomain: settings.failureDomain, listUpstreams: () => follower.state().placement.listUpstreams()});
+	const resumeTimeoutMs = settings.heartbeat.suspectAfter * resumeTimeoutFactor;
 	const attempts = createAttemptRunner({
-		follower, membership, fleet, grants: keeper, settler, routes: book, clock, events, resumeTimeoutMs: resumeWithin,
+		follower, membership, fleet, grants: grantManager, settler, routes, clock, events, resumeTimeoutMs,
 	});
 	const router = createRequestRouter({
-		follower, attempts, routes: book, clock, events, upstreamWaitMs: resumeWithin,
-		policy: parts.routingPolicy ?? new PrefixRoutingPolicy(),
+		follower, attempts, routes, clock, events, upstreamWaitMs: resumeTimeoutMs,
+		policy: policies.routingPolicy ?? new PrefixRoutingPolicy(),
 		retries: createRetryBudget({ratio: settings.requests.retryShare}),
 	});
-	const callers = createCallerInterface({
-		self, settings: settings.requests, refusesNew: () => refusesNew, follower, router, metrics, clock, events,
+	const callerInterface = createCallerInterface({
+		self, settings: settings.requests, isRefusingNew: () => isRefusingNew, follower, router, metrics, clock, events,
 	});
-	const operators = createOperatorInterface({
+	const operatorInterface = createOperatorInterface({
 		operatorKey: core.operatorKey, follower, writer, membership, events, metrics, holder,
 		intents: createIntentManager({follower, writer, events}),
 		isReady: () => follower.isReady() && !self.isLeaving,
-		countFigures: () => ({running: callers.countRunning(), openAttempts: settler.countOpen()}),
+		getFigures: () => ({running: callerInterface.countRunning(), openAttempts: settler.countOpen()}),
 	});
 
 	const fleetServer = await core.startFleet(connect => {
 		connect.service(Peer, createPeerInterface({self, follower, loans}));
 	});
-	const callerServer = await startHttpServer(settings.listen.callers, callers.addRoutes);
-	const operatorServer = await startHttpServer(settings.listen.operators, operators.addRoutes);
+	const callerServer = await startHttpServer(settings.listen.callers, callerInterface.addRoutes);
+	const operatorServer = await startHttpServer(settings.listen.operators, operatorInterface.addRoutes);
 	const enrolment = core.enrol({address: fleetServer.address, serves: [], work: 'none'});
 	const stopSnapshots = startSnapshotter({
 		follower, writer, membership, events, recordsPerSnapshot: settings.log.snapshotEvery,
 	});
 	const reclaimer = createReclaimer({
-		follower, writer, membership, clock, events, wasInsufficient: keeper.wasInsufficient, findLentTo: loans.findGrantsLentTo,
+		follower, writer, membership, clock, events, wasInsufficient: grantManager.wasInsufficient, findLentTo: loans.findGrantsLentTo,
 	});
-	for (const task of [keeper, settler, reclaimer]) {
+	for (const task of [grantManager, settler, reclaimer]) {
 		void task.run(signal);
 	}
 
@@ -103,17 +103,17 @@
 		addresses: {callers: callerServer.url, operators: operatorServer.url, peers: fleetServer.address},
 		superseded: core.superseded,
 		async stop() {
-			events.write('daemonStopping', {running: callers.countRunning()});
+			events.write('daemonStopping', {running: callerInterface.countRunning()});
 			self.isLeaving = true;
-			// The balancer learns from /readyz; what it still sends meanwhile is served like any request.
-			await clock.sleep(leaveNotice);
-			refusesNew = true;
-			if (!await waitUntilIdle(() => callers.countRunning() + settler.countOpen(), {within: settings.stopWithin, clock})) {
-				events.write('requestCut', {running: callers.countRunning()});
+			// The load balancer learns of the stop from `/readyz`. Requests that it sends in the meantime are served as usual.
+			await clock.sleep(leaveNoticeMs);
+			isRefusingNew = true;
+			if (!await waitUntilIdle(() => callerInterface.countRunning() + settler.countOpen(), {within: settings.stopWithin, clock})) {
+				events.write('requestCut', {running: callerInterface.countRunning()});
 			}
 
 			if (follower.isLogUp()) {
-				await keeper.releaseUnused();
+				await grantManager.releaseUnused();
 				await enrolment.leave();
 			}
 
@@ -124,7 +124,7 @@
 			await core.close();
 		},
 		cut() {
-			events.write('requestCut', {running: callers.countRunning()});
+			events.write('requestCut', {running: callerInterface.countRunning()});
 		},
 	};
 }
--- a/src/daemon/operator-interface.ts
+++ b/src/daemon/operator-interface.ts
@@ -1,5 +1,5 @@
 /**
- * What a daemon answers operators: status, budgets, intents, metrics.
+ * HTTP interface of a daemon for operators: status, budgets, intents and metrics.
  *
  * @module
  */
@@ -28,11 +28,11 @@
 	/** Set on entry daemons. */
 	readonly holder?: GrantHolder;
 	readonly isReady: () => boolean;
-	/** Figures of the daemon's own, for status. */
-	readonly countFigures: () => Readonly<Record<string, number>>;
+	/** Returns the figures of this daemon that its status shows. */
+	readonly getFigures: () => Readonly<Record<string, number>>;
 };
 
-const largestIntent = 1_048_576;
+const maxIntentBytes = 1_048_576;
 
 type Handler = (request: restana.Request<restana.Protocol.HTTP>, response: ServerResponse) => Promise<void> | void;
 
@@ -61,7 +61,7 @@
 		follower, writer, membership, events, metrics, intents, holder,
 	} = options;
 
-	function guard(handler: Handler): Handler {
+	function requireOperatorKey(handler: Handler): Handler {
 		return async (request, response) => {
 			const header = request.headers.authorization ?? '';
 			if (!header.startsWith('Bearer ') || !isSameSecret(header.slice('Bearer '.length), options.operatorKey)) {
@@ -102,7 +102,7 @@
 			nextOffset: getNextOffset(),
 			version: configuration.version(),
 			appends: writer.countAppends(),
-			figures: options.countFigures(),
+			figures: options.getFigures(),
 			events: Object.fromEntries(events.counts),
 		};
 	}
@@ -128,8 +128,8 @@
 		}));
 	}
 
-	async function readIntent(request: IncomingMessage): Promise<unknown> {
-		const body = await readBody(request, largestIntent);
+	async function readJsonBody(request: IncomingMessage): Promise<unknown> {
+		const body = await readBody(request, maxIntentBytes);
 		try {
 			return body.ok ? JSON.parse(Buffer.from(body.val).toString()) : undefined;
 		} catch {
@@ -138,10 +138,10 @@
 	}
 
 	async function planIntent(request: restana.Request<restana.Protocol.HTTP>, response: ServerResponse): Promise<void> {
-		const parsed = intentSchema.safeParse(await readIntent(request));
+		const parsed = intentSchema.safeParse(await readJsonBody(request));
 		if (!parsed.success) {
 			const issues = parsed.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`).join('; ');
-			sendFailure(response, createFailure('invalid-request', `The intent is wrong: ${issues}`));
+			sendFailure(response, createFailure('invalid-request', `The intent is invalid: ${issues}`));
 			return;
 		}
 
@@ -152,26 +152,26 @@
 		return String(request.headers['x-operator'] ?? 'operator').slice(0, 64);
 	}
 
-	// Tells at how many live daemons a plan's version is in force.
-	function describeSpread(plan: PlanView) {
+	// Adds the number of live daemons, and of those at which the plan's version is in force.
+	function describePlan(plan: PlanView) {
 		const hosts = listHosts().filter(host => host.isAlive);
-		const inForce = plan.version === undefined ? 0 : hosts.filter(host => host.version >= plan.version!).length;
-		return {...plan, inForceAt: inForce, liveDaemons: hosts.length};
+		const inForceCount = plan.version === undefined ? 0 : hosts.filter(host => host.version >= plan.version!).length;
+		return {...plan, inForceAt: inForceCount, liveDaemons: hosts.length};
 	}
 
 	function sendPlan(response: ServerResponse, id: string): void {
-		sendResult(response, intents!.findPlan(id).map(plan => describeSpread(plan)));
+		sendResult(response, intents!.findPlan(id).map(plan => describePlan(plan)));
 	}
 
 	function addIntentRoutes(service: restana.Service<restana.Protocol.HTTP>): void {
-		service.post('/v1/intents', guard(planIntent));
-		service.get('/v1/intents', guard((_request, response) => {
+		service.post('/v1/intents', requireOperatorKey(planIntent));
+		service.get('/v1/intents', requireOperatorKey((_request, response) => {
 			sendJson(response, {plans: intents!.list()});
 		}));
-		service.get('/v1/intents/:id', guard((request, response) => {
+		service.get('/v1/intents/:id', requireOperatorKey((request, response) => {
 			sendPlan(response, request.params.id ?? '');
 		}));
-		service.post('/v1/intents/:id/confirm', guard(async (request, response) => {
+		service.post('/v1/intents/:id/confirm', requireOperatorKey(async (request, response) => {
 			sendResult(response, await intents!.confirm(request.params.id ?? '', readOperator(request)));
 		}));
 	}
@@ -188,34 +188,34 @@
 					sendFailure(response, createFailure('not-ready', `Daemon "${membership.self.id}" is not ready`, {retryAfterMs: 1000}));
 				}
 			});
-			service.get('/metrics', guard((_request, response) => {
+			service.get('/metrics', requireOperatorKey((_request, response) => {
 				response.setHeader('content-type', 'text/plain; version=0.0.4');
 				response.end(metrics.formatPrometheusText());
 			}));
-			service.get('/v1/metrics', guard((_request, response) => {
+			service.get('/v1/metrics', requireOperatorKey((_request, response) => {
 				sendJson(response, {rows: metrics.listRows()});
 			}));
-			service.get('/v1/status', guard((_request, response) => {
+			service.get('/v1/status', requireOperatorKey((_request, response) => {
 				sendJson(response, describeStatus());
 			}));
-			service.get('/v1/budgets', guard((_request, response) => {
+			service.get('/v1/budgets', requireOperatorKey((_request, response) => {
 				sendJson(response, {budgets: [...follower.state().ledger.listBudgets()].map(budget => describeBudget(budget))});
 			}));
-			service.get('/v1/budgets/:id', guard((request, response) => {
+			service.get('/v1/budgets/:id', requireOperatorKey((request, response) => {
 				const budget = follower.state().ledger.findBudget(request.params.id ?? '');
 				if (budget) {
 					sendJson(response, describeBudget(budget));
 				} else {
-					sendFailure(response, createFailure('unknown-object', `There is no budget "${request.params.id ?? ''}"`));
+					sendFailure(response, createFailure('unknown-object', `Budget "${request.params.id ?? ''}" does not exist`));
 				}
 			}));
-			service.get('/v1/upstreams', guard((_request, response) => {
+			service.get('/v1/upstreams', requireOperatorKey((_request, response) => {
 				sendJson(response, {upstreams: listUpstreams()});
 			}));
-			service.get('/v1/hosts', guard((_request, response) => {
+			service.get('/v1/hosts', requireOperatorKey((_request, response) => {
 				sendJson(response, {hosts: listHosts()});
 			}));
-			service.get('/v1/requests/:id', guard((request, response) => {
+			service.get('/v1/requests/:id', requireOperatorKey((request, response) => {
 				const id = request.params.id ?? '';
 				const {ledger, runs} = follower.state();
 				sendJson(response, {request: id, billed: ledger.findBilledCost(id), run: runs.get(id)});
--- a/src/daemon/parse-body.ts
+++ b/src/daemon/parse-body.ts
@@ -1,5 +1,5 @@
 /**
- * Parses callers' bodies into typed requests or typed failures.
+ * Parses the bodies of callers' requests.
  *
  * @module
  */
@@ -9,21 +9,21 @@
 } from '../protocol/mod.js';
 
 /**
- * Parses JSON.
+ * Parses a JSON document.
  *
  * @example
  * ```ts
  * parseJson(Buffer.from('{"booking": 1}'));
  * ```
  *
- * @param body The bytes
+ * @param body The body of the request
  * @returns The document, or `malformed-json`
  */
 export function parseJson(body: Uint8Array): Result<unknown, Failure> {
 	try {
 		return Ok(JSON.parse(Buffer.from(body).toString()) as unknown);
 	} catch (error) {
-		return Err(createFailure('malformed-json', `The body is not JSON: ${(error as Error).message}`));
+		return Err(createFailure('malformed-json', `The body is not valid JSON: ${(error as Error).message}`));
 	}
 }
 
@@ -36,7 +36,7 @@
  * ```
  *
  * @param body The JSON document
- * @returns The request, or `invalid-request` naming the first wrong member
+ * @returns The request, or `invalid-request` with the first invalid member
  */
 export function parseChat(body: unknown): Result<ChatRequest, Failure> {
 	const parsed = chatRequestSchema.safeParse(body);
@@ -45,5 +45,5 @@
 	}
 
 	const [issue] = parsed.error.issues;
-	return Err(createFailure('invalid-request', `Member "${issue?.path.join('.') ?? ''}" is wrong: ${issue?.message ?? ''}`));
+	return Err(createFailure('invalid-request', `Member "${issue?.path.join('.') ?? ''}" is invalid: ${issue?.message ?? ''}`));
 }
--- a/src/daemon/peer-interface.ts
+++ b/src/daemon/peer-interface.ts
@@ -1,5 +1,5 @@
 /**
- * What every daemon answers its peers.
+ * Service that entry and upstream daemons offer to their peers.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type {LoanManager, LogFollower, Self} from '../coordination/mod.js';
 import type {Peer} from '../protocol/mod.js';
 
-/** Load as told to peers. */
+/** Returns the load that is reported to peers. */
 export type TellLoad = () => {
 	running: number;
 	queued: number;
@@ -23,11 +23,11 @@
 	/** Set on entry daemons. */
 	readonly loans?: LoanManager;
 	/** Set on upstream daemons. */
-	readonly tellLoad?: TellLoad;
+	readonly getLoad?: TellLoad;
 };
 
 /**
- * Creates the answers to peers.
+ * Creates the service for peers.
  *
  * @example
  * ```ts
@@ -58,7 +58,7 @@
 				leaving: self.isLeaving,
 				nextOffset: state.getNextOffset(),
 				version: state.configuration.version(),
-				load: options.tellLoad?.(),
+				load: options.getLoad?.(),
 			};
 		},
 
--- a/src/daemon/upstream-daemon.ts
+++ b/src/daemon/upstream-daemon.ts
@@ -1,5 +1,5 @@
 /**
- * Wires an upstream daemon.
+ * Assembles and starts an upstream daemon.
  *
  * @module
  */
@@ -16,13 +16,13 @@
 import {createUpstreamWatch} from './upstream-watch.js';
 import {waitUntilIdle} from './wait-until-idle.js';
 
-/** How long a stopping daemon still waits for entries to hear of it, in milliseconds: two heartbeats. */
-const leaveNotice = 1000;
-/** A call whose connection broke may come back for the rest within this span, in milliseconds: an entry pauses for 100. */
-const resumeNotice = 1000;
+/** Time for entry daemons to learn that this daemon is stopping: two heartbeats. */
+const leaveNoticeMs = 1000;
+/** Time for an entry daemon to resume a call whose connection broke, which it does after 100 ms. */
+const resumeGraceMs = 1000;
 
 /** @internal */
-function createWork(core: Core, settings: UpstreamSettings) {
+function createExecution(core: Core, settings: UpstreamSettings) {
 	const {
 		self, follower, writer, clock, events,
 	} = core;
@@ -33,32 +33,32 @@
 		self, follower, writer, table, clock, events, intervalMs: settings.receipts.every,
 	});
 	const engine = upstream.work === 'model' ? createEngineClient({url: upstream.url, idleTimeoutMs: upstream.silence}) : undefined;
-	const client = upstream.work === 'service' ? createServiceClient(upstream.url) : undefined;
-	const models = engine && createModelRunner({
+	const serviceClient = upstream.work === 'service' ? createServiceClient(upstream.url) : undefined;
+	const modelRunner = engine && createModelRunner({
 		engine, reporter, clock, events,
 	});
-	const services = client && createServiceRunner({
-		self, client, follower, writer, reporter, clock, events,
+	const serviceRunner = serviceClient && createServiceRunner({
+		self, client: serviceClient, follower, writer, reporter, clock, events,
 	});
-	const desk = createRequestExecutor({
-		self, table, queue, follower, reporter, models, services, clock, events,
+	const executor = createRequestExecutor({
+		self, table, queue, follower, reporter, models: modelRunner, services: serviceRunner, clock, events,
 	});
 	const watch = createUpstreamWatch({
 		clock, capacity: upstream.capacity,
 		countRunning: () => table.countRunning(),
 		countQueued: () => queue.countWaiting(),
 		fetchLoad: async () => engine?.fetchLoad(),
-		isAlive: async () => client ? client.isAlive() : true,
+		isAlive: async () => serviceClient ? serviceClient.isAlive() : true,
 	});
-	const orders = engine && createOrderSender({
+	const orderSender = engine && createOrderSender({
 		self, follower, engine, clock, events,
 	});
-	const tasks = [reporter.run, watch.run, ...services ? [services.runRecorder] : [], ...orders ? [orders.run] : []];
+	const tasks = [reporter.run, watch.run, ...serviceRunner ? [serviceRunner.runRecorder] : [], ...orderSender ? [orderSender.run] : []];
 	return {
-		table, queue, reporter, desk, watch, tasks,
+		table, queue, reporter, executor, watch, tasks,
 		async close() {
 			await engine?.close();
-			await client?.close();
+			await serviceClient?.close();
 		},
 	};
 }
@@ -73,35 +73,36 @@
  *
  * @param settings Checked settings
  * @returns The running daemon
- * @throws {FailureError} When a secret cannot be read
+ * @throws {FailureError} If a secret cannot be read
  */
 export async function startUpstreamDaemon(settings: UpstreamSettings): Promise<RunningDaemon> {
 	const core = createCore(settings);
 	const {
 		self, follower, membership, writer, clock, events, metrics, signal,
 	} = core;
-	const work = createWork(core, settings);
-	const {table, queue, reporter, desk} = work;
+	const execution = createExecution(core, settings);
+	const {table, queue, reporter, executor} = execution;
 	const fleetServer = await core.startFleet(connect => {
-		connect.service(Peer, createPeerInterface({self, follower, tellLoad: work.watch.tellLoad}));
-		connect.service(Upstream, createUpstreamInterface(self, desk));
+		connect.service(Peer, createPeerInterface({self, follower, getLoad: execution.watch.tellLoad}));
+		connect.service(Upstream, createUpstreamInterface(self, executor));
 	});
 	const enrolment = core.enrol({address: fleetServer.address, serves: settings.upstream.serves, work: settings.upstream.work});
-	const operators = createOperatorInterface({
+	const operatorInterface = createOperatorInterface({
 		operatorKey: core.operatorKey, follower, writer, membership, events, metrics,
 		isReady: () => enrolment.isJoined() && !self.isLeaving,
-		countFigures: () => ({
+		getFigures: () => ({
 			running: table.countRunning(), queued: queue.countWaiting(), answerBytes: table.countFinishedBytes(), receiptsWaiting: reporter.countUnreported(),
 		}),
 	});
-	const operatorServer = await startHttpServer(settings.listen.operators, operators.addRoutes);
-	for (const run of work.tasks) {
+	const operatorServer = await startHttpServer(settings.listen.operators, operatorInterface.addRoutes);
+	for (const run of execution.tasks) {
 		void run(signal);
 	}
 
-	// What a stop waits for: from the moment a request was taken until its entry has the last frame.
-	function countWork(): number {
-		return desk.countOpening() + table.countRunning() + desk.countDeliveries();
+	// Counts the requests that a stop waits for: each from its arrival until the last frame has been delivered to its entry
+	// daemon.
+	function countUnfinished(): number {
+		return executor.countOpening() + table.countRunning() + executor.countDeliveries();
 	}
 
 	events.write('daemonStarted', {role: self.role, incarnation: self.incarnation});
@@ -111,10 +112,11 @@
 		async stop() {
 			events.write('daemonStopping', {running: table.countRunning()});
 			self.isLeaving = true;
-			// Entries learn of it by their next heartbeat; until then what they send is refused as not run and goes elsewhere.
-			await clock.sleep(leaveNotice);
-			if (!await waitUntilIdle(countWork, {within: settings.stopWithin, settle: resumeNotice, clock})) {
-				events.write('requestCut', {opening: desk.countOpening(), running: table.countRunning(), delivering: desk.countDeliveries()});
+			// Entry daemons learn of the stop with their next heartbeat. Requests that they send until then are refused as not run,
+			// and are sent to another upstream daemon.
+			await clock.sleep(leaveNoticeMs);
+			if (!await waitUntilIdle(countUnfinished, {within: settings.stopWithin, settleMs: resumeGraceMs, clock})) {
+				events.write('requestCut', {opening: executor.countOpening(), running: table.countRunning(), delivering: executor.countDeliveries()});
 			}
 
 			if (follower.isLogUp() && await reporter.flush()) {
@@ -123,7 +125,7 @@
 
 			operatorServer.closeAllConnections();
 			await fleetServer.close();
-			await work.close();
+			await execution.close();
 			await core.close();
 		},
 		cut() {
--- a/src/daemon/upstream-interface.ts
+++ b/src/daemon/upstream-interface.ts
@@ -1,5 +1,5 @@
 /**
- * What an upstream daemon answers entry daemons.
+ * Service that an upstream daemon offers to entry daemons.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 type Frame = MessageInitShape<typeof RunFrameSchema>;
 
 /** @internal */
-function formatRefused(failure: Failure): Frame['body'] {
+function formatRefusal(failure: Failure): Frame['body'] {
 	return {
 		case: 'refused',
 		value: {
@@ -26,66 +26,66 @@
 /** @internal */
 function formatEnd(request: TrackedRequest): Frame['body'] {
 	if (!request.end) {
-		return formatRefused(request.failure!);
+		return formatRefusal(request.failure!);
 	}
 
 	return {case: 'done', value: {...request.end, billed: [...request.end.billed], billedAttempt: request.attempt}};
 }
 
 /**
- * Creates the answers to entry daemons.
+ * Creates the service for entry daemons.
  *
  * @example
  * ```ts
- * router.service(Upstream, createUpstreamInterface(self, desk));
+ * router.service(Upstream, createUpstreamInterface(self, executor));
  * ```
  *
  * @param self This daemon
- * @param desk Its requests
+ * @param executor Its request executor
  * @returns The service
  */
-export function createUpstreamInterface(self: Self, desk: RequestExecutor): ServiceImpl<typeof Upstream> {
+export function createUpstreamInterface(self: Self, executor: RequestExecutor): ServiceImpl<typeof Upstream> {
 	async function * followRequest(run: RunRequest, request: TrackedRequest): AsyncGenerator<Frame> {
-		const name = {requestId: run.requestId, attempt: run.attempt};
-		yield {...name, body: {case: 'accepted', value: {upstream: self.id, incarnation: request.incarnation}}};
-		for await (const item of desk.follow(request, run.fromSequence)) {
+		const attemptId = {requestId: run.requestId, attempt: run.attempt};
+		yield {...attemptId, body: {case: 'accepted', value: {upstream: self.id, incarnation: request.incarnation}}};
+		for await (const item of executor.follow(request, run.fromSequence)) {
 			yield item.kind === 'chunk'
-				? {...name, sequence: item.sequence, body: {case: 'chunk', value: item.chunk}}
-				: {...name, body: {case: 'progress', value: {}}};
+				? {...attemptId, sequence: item.sequence, body: {case: 'chunk', value: item.chunk}}
+				: {...attemptId, body: {case: 'progress', value: {}}};
 		}
 
-		yield {...name, sequence: request.chunks.length, body: formatEnd(request)};
+		yield {...attemptId, sequence: request.chunks.length, body: formatEnd(request)};
 	}
 
 	async function * streamFrames(run: RunRequest, context: HandlerContext): AsyncGenerator<Frame> {
-		const opened = await desk.open(run);
+		const opened = await executor.open(run);
 		if (opened.err) {
-			yield {requestId: run.requestId, attempt: run.attempt, body: formatRefused(opened.val)};
+			yield {requestId: run.requestId, attempt: run.attempt, body: formatRefusal(opened.val)};
 			return;
 		}
 
-		// Refusals do not count: an entry that asks a leaving daemon again and again would hold up its stop.
-		// An entry that has what it wants ends the call at its side, at any frame: the signal tells of it, and the generator
-		// may never be asked to go on.
-		const end = desk.beginDelivery(run);
+		// A refusal is not counted as a delivery: an entry daemon that keeps sending requests to a stopping daemon would delay
+		// the stop. An entry daemon may end the call at any frame. The generator may then never be resumed, so the delivery
+		// also ends when the signal is aborted.
+		const endDelivery = executor.beginDelivery(run);
 		if (context.signal.aborted) {
-			end();
+			endDelivery();
 		} else {
-			context.signal.addEventListener('abort', end, {once: true});
+			context.signal.addEventListener('abort', endDelivery, {once: true});
 		}
 
 		yield * followRequest(run, opened.val);
-		end();
+		endDelivery();
 	}
 
 	return {
 		run: streamFrames,
 		fence(request) {
-			const outcome = desk.fence(request.requestId, request.attempt);
+			const outcome = executor.fence(request.requestId, request.attempt);
 			return {state: outcome.state, billed: [...outcome.billed]};
 		},
 		cancel(request) {
-			desk.cancel(request.requestId, request.attempt);
+			executor.cancel(request.requestId, request.attempt);
 			return {};
 		},
 	};
--- a/src/daemon/upstream-stop.test.ts
+++ b/src/daemon/upstream-stop.test.ts
@@ -12,25 +12,25 @@
 	await fleet.kill();
 });
 
-// A caller's stream breaks off although its upstream daemon was stopped as
-// planned: the entry stood still for 2.5 s, less than makes a peer suspect. The
-// answer ended meanwhile, the daemon waited a second, left and closed the
-// connection over the frames that flow control still held back.
-test('a stop waits until an entry that stood still has the last frames', async () => {
+// Guards against a stream that breaks off in a planned stop of its upstream
+// daemon. The entry process was paused for 2.5 s, too short to become suspected.
+// The answer ended in the meantime; the upstream daemon waited one second, left,
+// and closed the connection while flow control still held back frames.
+test('a stop waits until a paused entry daemon has received the last frames', async () => {
 	fleet = await startFleet({
 		entries: 1, engines: 1, bookings: 0, engine: {tokenPause: 1},
 	});
 	await fleet.configure(customers);
 	const entry = fleet.entries[0]!.process;
 	const upstream = fleet.upstreams[0]!.process;
-	let begin: () => void = () => undefined;
-	const begun = new Promise<void>(resolve => {
-		begin = resolve;
+	let resolveStarted: () => void = () => undefined;
+	const started = new Promise<void>(resolve => {
+		resolveStarted = resolve;
 	});
 	const answer = askChat(entry.ready.callers, {
-		key, content: 'answer 400', maxTokens: 400, stream: true, deadline: '30s', onFirst: begin,
+		key, content: 'answer 400', maxTokens: 400, stream: true, deadline: '30s', onFirst: resolveStarted,
 	});
-	await begun;
+	await started;
 	entry.freeze();
 	const exited = upstream.stop();
 	await wait(2500);
@@ -43,11 +43,11 @@
 	});
 });
 
-// A booking sent just before a planned stop is never made, and its caller is
-// told that the outcome is unknown: the daemon had asked the log for the right
-// to run it, left while the log was slow, and refused what the log then gave to
-// it alone.
-test('a stop runs a booking whose right was being obtained', async () => {
+// Guards against a booking that is never made when it is sent just before a
+// planned stop, with an unknown outcome for its caller. The daemon had requested
+// the permit to run it from the log, left while the log was slow, and refused the
+// booking although the log had assigned it to this daemon alone.
+test('a stop runs a booking whose permit was being obtained', async () => {
 	fleet = await startFleet({entries: 1, engines: 0, bookings: 2});
 	await fleet.configure(customers);
 	const book = async (booking: string) => bookSlot(fleet.entries[0]!.process.ready.callers, {
--- a/src/daemon/wait-until-idle.ts
+++ b/src/daemon/wait-until-idle.ts
@@ -1,5 +1,5 @@
 /**
- * Waiting for running work to end, for a graceful stop.
+ * Waits for running work to end, for a graceful stop.
  *
  * @module
  */
@@ -9,38 +9,38 @@
 export type WaitUntilIdleOptions = {
 	/** Longest wait, in milliseconds. */
 	readonly within: number;
-	/** Nothing may run for this long before it counts as idle, in milliseconds; default 0. */
-	readonly settle?: number;
+	/** Time without running work after which the daemon counts as idle; default 0. */
+	readonly settleMs?: number;
 	readonly clock: Clock;
 };
 
-const step = 20;
+const pollIntervalMs = 20;
 
 /**
- * Waits until nothing runs, or the bound has passed.
+ * Waits until no work is running or the timeout has passed.
  *
  * @example
  * ```ts
  * await waitUntilIdle(() => table.countRunning(), {within: 60_000, clock});
  * ```
  *
- * @param count Counts what runs
- * @param options Bound and clock
- * @returns True when nothing runs any more
+ * @param countRunning Counts the running work
+ * @param options Timeout and clock
+ * @returns True if no work is running
  */
-export async function waitUntilIdle(count: () => number, options: WaitUntilIdleOptions): Promise<boolean> {
-	const {within, settle = 0, clock} = options;
-	const until = clock.now() + within;
+export async function waitUntilIdle(countRunning: () => number, options: WaitUntilIdleOptions): Promise<boolean> {
+	const {within, settleMs = 0, clock} = options;
+	const deadline = clock.now() + within;
 	let busyAt = clock.now();
-	while (clock.now() < until) {
-		if (count() > 0) {
+	while (clock.now() < deadline) {
+		if (countRunning() > 0) {
 			busyAt = clock.now();
-		} else if (clock.now() - busyAt >= settle) {
+		} else if (clock.now() - busyAt >= settleMs) {
 			return true;
 		}
 
-		await clock.sleep(step);
+		await clock.sleep(pollIntervalMs);
 	}
 
-	return count() === 0;
+	return countRunning() === 0;
 }
