--- a/src/daemon/core.ts
+++ b/src/daemon/core.ts
@@ -1,5 +1,5 @@
 /**
- * What entry and upstream daemons have in common: log, peers and enrolment.
+ * Components shared by entry and upstream daemons: log, membership and enrolment.
  *
  * @module
  */
@@ -16,17 +16,17 @@
 
 /** A running daemon. */
 export type RunningDaemon = {
-	/** Addresses that it listens on, as its ready line gives them. */
+	/** Addresses that the daemon listens on, as printed in its ready line. */
 	readonly addresses: Readonly<Record<string, string>>;
-	/** Stops gracefully: nothing new, running requests finish, grants and receipts go to the log. */
+	/** Stops gracefully: accepts no new requests, finishes the running ones, and records grants and receipts in the log. */
 	readonly stop: () => Promise<void>;
-	/** Stops at once and logs what was cut. */
+	/** Logs the running requests that an immediate exit aborts. */
 	readonly cut: () => void;
-	/** Resolves when another process has taken this daemon's name. */
+	/** Resolves when another process has joined under this daemon's name. */
 	readonly superseded: Promise<void>;
 };
 
-/** The common parts of one daemon. */
+/** Components shared by entry and upstream daemons. */
 export type Core = ReturnType<typeof createCore>;
 
 /** @internal */
@@ -40,16 +40,16 @@
 }
 
 /**
- * Creates the common parts of a daemon.
+ * Creates the shared components of a daemon.
  *
  * @example
  * ```ts
  * const core = createCore(settings);
  * ```
  *
- * @param settings Checked settings
- * @returns The parts
- * @throws {FailureError} When a secret cannot be read
+ * @param settings Validated settings
+ * @returns The components
+ * @throws {FailureError} If a secret cannot be read
  */
 export function createCore(settings: Settings) {
 	const fleetKey = requireSecret(settings.fleetKey);
@@ -62,7 +62,7 @@
 	const log = createLogClient({url: settings.log.url, stream: settings.log.stream, timeoutMs: settings.log.timeout});
 	const hostList = settings.hostList && createHostListClient(settings.hostList.url);
 	const fleet = createFleetClient(fleetKey);
-	const stopper = new AbortController();
+	const abortController = new AbortController();
 	const follower = createLogFollower({
 		log, clock, events, windowMs: settings.log.window, fetchFromPeers: async from => membership.fetchRecords(from),
 	});
@@ -85,7 +85,7 @@
 	return {
 		settings, fleetKey, operatorKey, events, clock, self, fleet, follower, membership, writer, superseded,
 		metrics: createMetrics(),
-		signal: stopper.signal,
+		signal: abortController.signal,
 
 		async startFleet(routes: (router: ConnectRouter) => void) {
 			return startFleetServer(settings.listen.peers, {
@@ -106,14 +106,14 @@
 				},
 			});
 			for (const task of [follower, membership, enrolment]) {
-				void task.run(stopper.signal);
+				void task.run(abortController.signal);
 			}
 
 			return enrolment;
 		},
 
 		async close(): Promise<void> {
-			stopper.abort();
+			abortController.abort();
 			fleet.close();
 			await log.close();
 			await hostList?.close();
--- a/src/daemon/gateway-daemon.ts
+++ b/src/daemon/gateway-daemon.ts
@@ -1,15 +1,16 @@
 /**
- * Wires a gateway daemon: an entry daemon that serves callers by a
- * deployment's routes and reaches upstreams directly.
+ * Assembles a gateway daemon: an entry daemon that serves callers by the routes
+ * of a deployment and sends requests directly to upstreams.
  *
  * @module
  */
 import {setMaxListeners} from 'node:events';
 import process from 'node:process';
 import {
-	createAdmission, createBudgetOwners, createBudgetManager, createCrashDetector, createStorePathTracker, createMetrics, createPeerCatchUp, createPeerNews, createQuarantine, createQuarantineRecorder,
-	createRelayedLog, createRequestForwarder, createRetryAfterEstimator, createRetryBudget, createTokenLending, createUpstreamRegistry, monitorEventLoop, type CatchUpAnswer, type CatchUpAsk, type HolderIdentity,
-	type NewsPeer, type ProcessStats, type RetryBudget,
+	createAdmission, createBudgetOwners, createBudgetManager, createCrashDetector, createStorePathTracker, createMetrics,
+	createPeerCatchUp, createPeerNews, createQuarantine, createQuarantineRecorder, createRelayedLog, createRequestForwarder,
+	createRetryAfterEstimator, createRetryBudget, createTokenLending, createUpstreamRegistry, monitorEventLoop,
+	type CatchUpAnswer, type CatchUpAsk, type HolderIdentity, type NewsPeer, type ProcessStats, type RetryBudget,
 } from '../coordination/mod.js';
 import {
 	Gateway, Relay, createId, type EventLog, type GatewaySettings, type KeyedLog,
@@ -26,7 +27,7 @@
 import {createGatewayPeerInterface} from './gateway-peer-interface.js';
 import {createGatewayState, type GatewayAdapter} from './gateway-state.js';
 import {addQuarantineRoutes} from './quarantine-interface.js';
-import {createRelayInterface, openLogThrough} from './relay-interface.js';
+import {createRelayInterface, openRelayedLog} from './relay-interface.js';
 import {createStopWindow} from './stop-window.js';
 import {waitUntilIdle} from './wait-until-idle.js';
 
@@ -35,29 +36,28 @@
 
 /** A running gateway daemon. */
 export type RunningGateway = RunningDaemon & {
-	/** Puts changed settings in force; addresses stay until the process starts again. */
+	/** Applies changed settings. Changed addresses take effect only when the process is restarted. */
 	readonly reload: (settings: GatewaySettings) => void;
 };
 
-/** How long a new connection to an upstream may take, in milliseconds. */
-const connectTimeout = 400;
-/** Connections to one upstream: as many as a model engine runs at once. */
-const upstreamConnections = 64;
-/** Characters of an incarnation beside its time: two starts of one daemon in the same millisecond differ. */
-const incarnationLength = 8;
-/** Customers whose free tokens are told to other gateways, those with most first. */
-const customersTold = 12;
-/** A call to a peer may take this long, in milliseconds: many times the way between two failure domains. */
-const peerTimeout = 300;
-/** An upstream's host refuses a connection within this time, in milliseconds, if no process listens there. */
-const probeTimeout = 150;
-/** How long a stopping gateway takes every request, in milliseconds; the balancer needs two of its questions. */
-const leaveNotice = 2500;
-/** Time kept at the end of a stop for giving grants back, in milliseconds. */
-const stopReserve = 700;
+const connectTimeoutMs = 400;
+/** Maximum number of connections to one upstream: as many as a model engine runs requests concurrently. */
+const maxUpstreamConnections = 64;
+/** Length of the random suffix of an incarnation, which distinguishes two starts of a daemon in the same millisecond. */
+const incarnationSuffixLength = 8;
+/** Number of customers whose free tokens are advertised to other gateways, those with the most tokens first. */
+const maxAdvertisedCustomers = 12;
+/** Timeout of a call to a peer: many times the round-trip time between two failure domains. */
+const peerTimeoutMs = 300;
+/** An upstream's host refuses a connection within this time if no process listens at the address. */
+const probeTimeoutMs = 150;
+/** Time for which a stopping gateway accepts every request; the load balancer needs two readiness checks to notice the stop. */
+const stopNoticeMs = 2500;
+/** Time reserved at the end of a stop for releasing grants. */
+const stopReserveMs = 700;
 const microsecondsPerMillisecond = 1000;
-/** The fleet's spare retries are shared out among at least so many gateways: the smallest deployments have four. */
-const leastGateways = 4;
+/** Minimum number of gateways among which the fleet's retry slack is divided: the smallest deployments have four. */
+const minGateways = 4;
 
 /** @internal */
 function createIdentity(settings: GatewaySettings): HolderIdentity {
@@ -65,8 +65,9 @@
 	return {
 		role: 'gateway',
 		daemon: settings.id,
-		// Begins with the time, so that a later start of the same daemon sorts after it; short, since each entry of its news bears it.
-		incarnation: `${Date.now().toString(36)}-${createId('i').slice(0, incarnationLength)}`,
+		// Starts with the time, so that later incarnations of a daemon sort after earlier ones. Kept short because each gossip
+		// entry contains it.
+		incarnation: `${Date.now().toString(36)}-${createId('i').slice(0, incarnationSuffixLength)}`,
 		address: `${host}:${port}`,
 		failureDomain: settings.failureDomain,
 	};
@@ -80,109 +81,110 @@
  * const daemon = await startGatewayDaemon(settings, {adapter, events});
  * ```
  *
- * @param first Checked settings
- * @param options The adapter and the log
+ * @param initialSettings Validated settings
+ * @param options The adapter and the event log
  * @returns The running daemon
- * @throws When an address cannot be listened on
+ * @throws {Error} If the daemon cannot listen on an address
  */
-export async function startGatewayDaemon(first: GatewaySettings, {adapter, events}: StartGatewayOptions): Promise<RunningGateway> {
-	let settings = first;
+export async function startGatewayDaemon(initialSettings: GatewaySettings, {adapter, events}: StartGatewayOptions): Promise<RunningGateway> {
+	let settings = initialSettings;
 	const clock = createSystemClock();
 	const metrics = createMetrics();
-	const stopper = new AbortController();
-	const {signal} = stopper;
+	const abortController = new AbortController();
+	const {signal} = abortController;
 	setMaxListeners(0, signal);
 	const self = createIdentity(settings);
 	const fleet = createFleetClient(settings.fleetKey);
-	const path = createStorePathTracker({clock, events});
-	const openRelayed = (direct: KeyedLog) => createRelayedLog({
-		direct, pathTracker: path, clock, listRelays,
-		openRelayedLog: address => openLogThrough(direct.name, {fleet, address}),
+	const pathTracker = createStorePathTracker({clock, events});
+	const withRelays = (direct: KeyedLog) => createRelayedLog({
+		direct, pathTracker, clock, listRelays,
+		openRelayedLog: address => openRelayedLog(direct.name, {fleet, address}),
 	});
-	const logs = {deployment: openRelayed(adapter.logs.deployment), upstreams: openRelayed(adapter.logs.upstreams), grants: openRelayed(adapter.logs.grants)};
-	const stopWindow = createStopWindow({notice: leaveNotice, clock});
+	const logs = {deployment: withRelays(adapter.logs.deployment), upstreams: withRelays(adapter.logs.upstreams), grants: withRelays(adapter.logs.grants)};
+	const stopWindow = createStopWindow({noticeMs: stopNoticeMs, clock});
 
 	const state = createGatewayState({
-		adapter: {...adapter, logs}, self, upstreamHeartbeat: settings.upstreamHeartbeat, clock, events,
+		adapter: {...adapter, logs}, self, upstreamHeartbeatMs: settings.upstreamHeartbeat, clock, events,
 		onDeployment(deployment) {
 			callerServer.setLimits(deployment.limits);
 		},
-		onOwnGrants(record) {
-			keeper.applyOwnRecord(record);
+		onOwnRecord(record) {
+			budgetManager.applyOwnRecord(record);
 		},
-		onQuarantine(record) {
-			recorder.take(record);
+		onQuarantineRecord(record) {
+			quarantineRecorder.take(record);
 		},
 	});
-	const {account, book, directory, findTable} = state;
-	const views = createPeerViews();
-	const upstreams = createUpstreamRegistry({
-		directory, clock, failureDomain: settings.failureDomain, getViewAgeMs: state.countViewAge, sumPeerUse: views.sumUse,
+	const {account, grantRegistry, directory, findRouteTable} = state;
+	const peerViews = createPeerViews();
+	const upstreamRegistry = createUpstreamRegistry({
+		directory, clock, failureDomain: settings.failureDomain, getViewAgeMs: state.computeViewAgeMs, sumPeerUse: peerViews.sumUse,
 		onUseChange() {
-			news.noteChange();
+			gossip.noteChange();
 		},
 		onPromptPlaced(prompt) {
-			news.notePrompt(prompt);
+			gossip.notePrompt(prompt);
 		},
 	});
 
-	// Daemons beside upstreams first: a partition that cuts this gateway off from the store often cuts the others off too.
+	// Lists relay daemons, which run next to upstreams, before gateways: a partition that separates this gateway from the
+	// store often separates the other gateways from it as well.
 	function listRelays(): string[] {
 		const rank = (holder: HolderRecord) => (holder.role === 'relay' ? 0 : 2) + (holder.failureDomain === self.failureDomain ? 0 : 1);
-		const known = book.listRunning().filter(({daemon}) => daemon !== self.daemon).sort((left, right) => rank(left) - rank(right));
-		return [...known.map(({address}) => address), ...settings.seeds.filter(address => address !== self.address)];
+		const holders = grantRegistry.listRunning().filter(({daemon}) => daemon !== self.daemon).sort((left, right) => rank(left) - rank(right));
+		return [...holders.map(({address}) => address), ...settings.seeds.filter(address => address !== self.address)];
 	}
 
 	function listPeers(): NewsPeer[] {
-		return book.listRunning().flatMap(({role, daemon, newsAddress}) => role === 'gateway' && daemon !== self.daemon && newsAddress !== undefined ? [{daemon, newsAddress}] : []);
+		return grantRegistry.listRunning().flatMap(({role, daemon, newsAddress}) => role === 'gateway' && daemon !== self.daemon && newsAddress !== undefined ? [{daemon, newsAddress}] : []);
 	}
 
-	const findVersion = () => findTable()?.version ?? 0;
+	const getDeploymentVersion = () => findRouteTable()?.version ?? 0;
 
-	function listFree() {
+	function listFreeTokens() {
 		return account.listCustomers()
-			.map(customer => ({customer, tokens: keeper.countSpare(customer)}))
+			.map(customer => ({customer, tokens: budgetManager.countSpare(customer)}))
 			.filter(({tokens}) => tokens > 0)
 			.sort((left, right) => right.tokens - left.tokens)
-			.slice(0, customersTold);
+			.slice(0, maxAdvertisedCustomers);
 	}
 
 	function buildView(): PeerView {
-		upstreams.prune();
+		upstreamRegistry.prune();
 		quarantine.prune();
 		return {
 			daemon: self.daemon,
 			incarnation: self.incarnation,
 			address: self.address,
-			free: listFree(),
-			uses: upstreams.listUses(),
-			version: findVersion(),
+			free: listFreeTokens(),
+			uses: upstreamRegistry.listUses(),
+			version: getDeploymentVersion(),
 			isLeaving: stopWindow.hasBegun(),
 			crashes: quarantine.listNews(),
 		};
 	}
 
-	function answerCatchUp({knownVersion, wantsPrompts}: CatchUpAsk): CatchUpAnswer {
+	function handleCatchUp({knownVersion, wantsPrompts}: CatchUpAsk): CatchUpAnswer {
 		return {
-			deployment: knownVersion < findVersion() ? new TextEncoder().encode(state.deploymentRecord()) : new Uint8Array(),
-			prompts: wantsPrompts ? upstreams.listCachedPrompts() : [],
+			deployment: knownVersion < getDeploymentVersion() ? new TextEncoder().encode(state.getDeploymentRecord()) : new Uint8Array(),
+			prompts: wantsPrompts ? upstreamRegistry.listCachedPrompts() : [],
 			crashes: wantsPrompts ? quarantine.listAll() : [],
 		};
 	}
 
-	function readWork(): ProcessStats {
+	function readProcessStats(): ProcessStats {
 		const {user, system} = process.cpuUsage();
 		const {connections, requests} = callerServer.getStatistics();
 		return {cpuMs: (user + system) / microsecondsPerMillisecond, connections, requests};
 	}
 
-	const findStopSpan = () => settings.stopWithin - stopReserve;
-	const forecast = createRetryAfterEstimator({clock, findMaxStopMs: findStopSpan});
+	const computeStopDurationMs = () => settings.stopWithin - stopReserveMs;
+	const retryAfterEstimator = createRetryAfterEstimator({clock, findMaxStopMs: computeStopDurationMs});
 	const catchUp = createPeerCatchUp({
-		clock, events, findVersion,
-		ask: async (address, ask) => fleet.connect(address).gateway.catchUp(ask, {timeoutMs: peerTimeout}),
+		clock, events, findVersion: getDeploymentVersion,
+		ask: async (address, ask) => fleet.connect(address).gateway.catchUp(ask, {timeoutMs: peerTimeoutMs}),
 		onDeployment: state.adoptFromPeer,
-		onPrompt: upstreams.recordPeerPrompt,
+		onPrompt: upstreamRegistry.recordPeerPrompt,
 		onCrashes(record) {
 			quarantine.take(record, 'peer');
 		},
@@ -190,97 +192,97 @@
 			fleet.connect(address).abandon();
 		},
 	});
-	const news = createPeerNews({
-		clock, events, daemon: self.daemon, views, listPeers,
+	const gossip = createPeerNews({
+		clock, events, daemon: self.daemon, views: peerViews, listPeers,
 		readOwn: buildView,
 		send(message, addresses) {
-			newsSocket.send(message, addresses);
+			gossipSocket.send(message, addresses);
 		},
 		onView(view) {
-			forecast.recordView(view);
+			retryAfterEstimator.recordView(view);
 			catchUp.note(view);
 			for (const record of view.crashes) {
 				quarantine.take(record, 'peer');
 			}
 		},
-		onPrompt: upstreams.recordPeerPrompt,
+		onPrompt: upstreamRegistry.recordPeerPrompt,
 		random: Math.random,
 	});
-	const listUp = () => listPeers().map(({daemon}) => daemon).filter(daemon => news.isPresumedUp(daemon));
-	const homes = createBudgetOwners({clock, daemon: self.daemon, listPeers: listUp});
-	const crashBook = createCrashRegistry();
+	const listPresumedUpPeers = () => listPeers().map(({daemon}) => daemon).filter(daemon => gossip.isPresumedUp(daemon));
+	const owners = createBudgetOwners({clock, daemon: self.daemon, listPeers: listPresumedUpPeers});
+	const crashRegistry = createCrashRegistry();
 	const quarantine = createQuarantine({
-		book: crashBook, daemon: self.daemon, listPeers: listUp, clock, events,
+		book: crashRegistry, daemon: self.daemon, listPeers: listPresumedUpPeers, clock, events,
 		onChange() {
-			news.noteChange();
+			gossip.noteChange();
 		},
 		onCrash(digest) {
-			recorder.noteCrash(digest);
+			quarantineRecorder.noteCrash(digest);
 		},
 	});
-	const recorder = createQuarantineRecorder({
-		log: logs.grants, book: crashBook, quarantine, daemon: self.daemon, listPeers: listUp, clock, events,
+	const quarantineRecorder = createQuarantineRecorder({
+		log: logs.grants, book: crashRegistry, quarantine, daemon: self.daemon, listPeers: listPresumedUpPeers, clock, events,
 	});
 	const lending = createTokenLending({
 		daemon: self.daemon, account, events, clock,
-		listOwners: homes.listOwners,
-		isOwner: homes.isOwner,
-		claim: async (customer, amount) => keeper.claimForPeer(customer, amount),
+		listOwners: owners.listOwners,
+		isOwner: owners.isOwner,
+		claim: async (customer, amount) => budgetManager.claimForPeer(customer, amount),
 		onLent(customer, amount) {
-			keeper.recordLent(customer, amount);
+			budgetManager.recordLent(customer, amount);
 		},
-		listViews: views.list,
-		listUnresponsive: news.listSilent,
-		countWanted: customer => keeper.countWanted(customer),
-		async requestLoan(address, ask) {
-			const {tokens} = await fleet.connect(address).gateway.lend(ask, {timeoutMs: peerTimeout});
+		listViews: peerViews.list,
+		listUnresponsive: gossip.listSilent,
+		countWanted: customer => budgetManager.countWanted(customer),
+		async requestLoan(address, request) {
+			const {tokens} = await fleet.connect(address).gateway.lend(request, {timeoutMs: peerTimeoutMs});
 			return tokens;
 		},
 	});
-	const keeper = createBudgetManager({
-		self, log: logs.grants, follower: state.grants, grants: book, account, owners: homes, clock, events, signal, findRouteTable: findTable,
+	const budgetManager = createBudgetManager({
+		self, log: logs.grants, follower: state.grantFollower, grants: grantRegistry, account, owners, clock, events, signal, findRouteTable,
 		borrow: lending.borrow,
 	});
-	const retries = new Map<string, RetryBudget>();
-	// Only ever rises: gateways that come and go must not refill the budgets each time.
-	let mostGateways = leastGateways;
+	const retryBudgets = new Map<string, RetryBudget>();
+	// Never decreases, so that gateways that stop and start do not refill the retry budgets each time.
+	let maxGatewaysSeen = minGateways;
 	const forwarder = createRequestForwarder({
 		wire: adapter.wire, clock, events,
-		client: createUpstreamClient({connectTimeoutMs: connectTimeout, maxConnections: upstreamConnections}),
-		registry: upstreams,
+		client: createUpstreamClient({connectTimeoutMs, maxConnections: maxUpstreamConnections}),
+		registry: upstreamRegistry,
 		quarantine,
 		crashDetector: createCrashDetector({
-			isExpectedUp: upstreams.isListed,
-			probe: async address => probeAddress(address, {timeoutMs: probeTimeout}),
+			isExpectedUp: upstreamRegistry.isListed,
+			probe: async address => probeAddress(address, {timeoutMs: probeTimeoutMs}),
 		}),
 		findRetryBudget(service) {
-			const gateways = book.listRunning().filter(({role}) => role === 'gateway').length;
-			if (gateways > mostGateways) {
-				mostGateways = gateways;
-				retries.clear();
+			const gateways = grantRegistry.listRunning().filter(({role}) => role === 'gateway').length;
+			if (gateways > maxGatewaysSeen) {
+				maxGatewaysSeen = gateways;
+				retryBudgets.clear();
 			}
 
-			const known = retries.get(service) ?? createRetryBudget({ratio: settings.retryShare, burst: settings.retrySlack / mostGateways});
-			retries.set(service, known);
-			return known;
+			const retryBudget = retryBudgets.get(service) ?? createRetryBudget({ratio: settings.retryShare, burst: settings.retrySlack / maxGatewaysSeen});
+			retryBudgets.set(service, retryBudget);
+			return retryBudget;
 		},
 	});
 	const admission = createAdmission({
 		random: Math.random,
-		findShortestObjective: () => Math.min(...findTable()?.deployment.routes.map(({objective}) => objective) ?? []),
+		findShortestObjective: () => Math.min(...findRouteTable()?.deployment.routes.map(({objective}) => objective) ?? []),
 		onChange(change) {
 			events.write('admissionChanged', change);
 		},
 	});
-	const callers = createGatewayInterface({
-		wire: adapter.wire, findTable, keeper, forwarder, metrics, clock, events, stopWindow, admission, quarantine,
-		findLeavingRetryAfter: () => forecast.estimate(views.list(), {ownRemainingMs: stopWindow.countLeft()}),
+	const callerInterface = createGatewayInterface({
+		wire: adapter.wire, findRouteTable, budgetManager, forwarder, metrics, clock, events, stopWindow, admission, quarantine,
+		computeStopRetryAfterMs: () => retryAfterEstimator.estimate(peerViews.list(), {ownRemainingMs: stopWindow.computeRemainingMs()}),
 	});
-	const callerServer = await startCallerServer(settings.listen.callers, callers.serve);
-	let readinessAnswers = 0;
+	const callerServer = await startCallerServer(settings.listen.callers, callerInterface.serve);
+	let readinessResponses = 0;
 	const readinessServer = await startHttpServer(settings.listen.readiness, service => {
 		service.get(adapter.wire.readinessPath, (_request, response) => {
-			readinessAnswers += 1;
+			readinessResponses += 1;
 			response.statusCode = state.isReady() && !stopWindow.hasBegun() ? 200 : 503;
 			response.end();
 		});
@@ -290,7 +292,15 @@
 		service.get('/metrics', (_request, response) => {
 			response.setHeader('content-type', 'text/plain; version=0.0.4');
 			response.end(formatGatewayMetrics({
-				metrics, events, running: callers.countRunning(), version: findVersion(), account, admission, quarantine, work: callerServer.getStatistics(), readinessAnswers,
+				metrics,
+				events,
+				runningRequests: callerInterface.countRunning(),
+				deploymentVersion: getDeploymentVersion(),
+				account,
+				admission,
+				quarantine,
+				callerServerStatistics: callerServer.getStatistics(),
+				readinessResponses,
 			}));
 		});
 	});
@@ -298,15 +308,15 @@
 		fleetKey: settings.fleetKey,
 		routes(router) {
 			router.service(Relay, createRelayInterface(Object.values(adapter.logs), signal));
-			router.service(Gateway, createGatewayPeerInterface({answerCatchUp, lend: lending.lend}));
+			router.service(Gateway, createGatewayPeerInterface({handleCatchUp, lend: lending.lend}));
 		},
 		onUnauthenticated() {
 			events.write('peerRefused');
 		},
 	});
-	const newsSocket = await openDatagramSocket(settings.listen.news, {
+	const gossipSocket = await openDatagramSocket(settings.listen.news, {
 		fleetKey: settings.fleetKey,
-		onMessage: news.take,
+		onMessage: gossip.take,
 		onUnauthenticated() {
 			events.write('peerRefused');
 		},
@@ -315,7 +325,7 @@
 		},
 	});
 	self.address = peerServer.address;
-	self.newsAddress = newsSocket.address;
+	self.newsAddress = gossipSocket.address;
 	const addresses = {
 		callers: callerServer.url, readiness: readinessServer.url, peers: peerServer.address, metrics: metricsServer.url,
 	};
@@ -323,11 +333,11 @@
 		role: self.role, incarnation: self.incarnation, pid: process.pid, ...addresses,
 	});
 	state.run(signal);
-	void keeper.run();
-	void news.run(signal);
-	void recorder.run(signal);
+	void budgetManager.run();
+	void gossip.run(signal);
+	void quarantineRecorder.run(signal);
 	void monitorEventLoop({
-		clock, onWindow: admission.recordLag, readStats: readWork,
+		clock, onWindow: admission.recordLag, readStats: readProcessStats,
 		onStall(stall) {
 			events.write('loopStalled', stall);
 		},
@@ -335,40 +345,40 @@
 
 	return {
 		addresses,
-		// A gateway's name is never taken over: each incarnation has its own key.
+		// Never resolves: no other process can supersede a gateway, because each incarnation has its own key.
 		superseded: new Promise<void>(() => undefined), // eslint-disable-line no-promise-executor-return
 		reload(changed) {
 			settings = changed;
-			retries.clear();
+			retryBudgets.clear();
 			events.write('settingsReloaded', {stopWithin: changed.stopWithin, retryShare: changed.retryShare, retrySlack: changed.retrySlack});
 		},
 		async stop() {
-			events.write('daemonStopping', {running: callers.countRunning()});
-			stopWindow.begin(findStopSpan());
-			news.noteChange();
+			events.write('daemonStopping', {running: callerInterface.countRunning()});
+			stopWindow.begin(computeStopDurationMs());
+			gossip.noteChange();
 			callerServer.requestConnectionClose();
-			await clock.sleep(leaveNotice);
+			await clock.sleep(stopNoticeMs);
 			const connections = callerServer.drain();
-			events.write('daemonDraining', {stoppingMs: Math.round(stopWindow.countElapsed()!), running: callers.countRunning(), connections});
-			if (!await waitUntilIdle(callers.countRunning, {within: stopWindow.countLeft(), clock})) {
-				events.write('requestCut', callers.describeRunning());
+			events.write('daemonDraining', {stoppingMs: Math.round(stopWindow.computeElapsedMs()!), running: callerInterface.countRunning(), connections});
+			if (!await waitUntilIdle(callerInterface.countRunning, {within: stopWindow.computeRemainingMs(), clock})) {
+				events.write('requestCut', callerInterface.describeRunning());
 			}
 
 			stopWindow.finish();
-			await Promise.race([keeper.releaseUnused(), clock.sleep(stopReserve / 2)]);
-			stopper.abort();
-			callers.noteEnding();
+			await Promise.race([budgetManager.releaseUnused(), clock.sleep(stopReserveMs / 2)]);
+			abortController.abort();
+			callerInterface.markClosing();
 			callerServer.closeAllConnections();
 			readinessServer.closeAllConnections();
 			metricsServer.closeAllConnections();
-			newsSocket.close();
+			gossipSocket.close();
 			await peerServer.close();
 			fleet.close();
 			await adapter.close();
 			events.write('daemonStopped');
 		},
 		cut() {
-			events.write('requestCut', callers.describeRunning());
+			events.write('requestCut', callerInterface.describeRunning());
 		},
 	};
 }
--- a/src/daemon/gateway-interface.test.ts
+++ b/src/daemon/gateway-interface.test.ts
@@ -11,8 +11,8 @@
 import {createGatewayInterface} from './gateway-interface.js';
 import {createStopWindow} from './stop-window.js';
 
-/** Time limit of the route, in milliseconds. */
-const timeout = 300;
+/** Timeout of the route. */
+const timeoutMs = 300;
 const events: EventLog = {write: () => undefined, counts: new Map()};
 
 const wire: GatewayWire = {
@@ -32,7 +32,7 @@
 const deployment: Deployment = {
 	version: 1,
 	routes: [{
-		id: 'r', host: '127.0.0.1', prefix: '/', kind: 'stream', timeout, objective: 100, priority: 0, targets: [{service: 's', weight: 1}], attempts: 1, isOpen: false, isResumable: false,
+		id: 'r', host: '127.0.0.1', prefix: '/', kind: 'stream', timeout: timeoutMs, objective: 100, priority: 0, targets: [{service: 's', weight: 1}], attempts: 1, isOpen: false, isResumable: false,
 	}],
 	services: [{id: 's', connectionLimit: 10}],
 	customers: [{id: 'c', keys: ['k'], bought: 1000}],
@@ -41,16 +41,16 @@
 	},
 };
 
-/** A gateway whose tokens come when the test says so. */
+/** Starts a gateway whose token reservations stay pending until `deliverTokens` is called. */
 async function startGateway() {
 	const clock = createSystemClock();
 	const settled: number[] = [];
 	const reservation: TokenReservation = {customer: 'c', amount: 110, isSettled: false};
-	let bring: () => void = () => undefined;
+	let deliverTokens: () => void = () => undefined;
 	const tokens = new Promise<void>(resolve => {
-		bring = resolve;
+		deliverTokens = resolve;
 	});
-	const keeper = {
+	const budgetManager = {
 		async acquire() {
 			await tokens;
 			return Ok(reservation);
@@ -60,23 +60,23 @@
 		},
 	} as unknown as BudgetManager;
 	const admission = {admit: () => Ok(() => undefined)} as unknown as Admission;
-	const callers = createGatewayInterface({
-		wire, findTable: () => createRouteTable(deployment), keeper, admission, quarantine: {admit: () => Ok(undefined)}, forwarder: undefined as unknown as RequestForwarder,
-		metrics: createMetrics(), clock, events, stopWindow: createStopWindow({notice: 1, clock}), findLeavingRetryAfter: () => 100,
+	const callerInterface = createGatewayInterface({
+		wire, findRouteTable: () => createRouteTable(deployment), budgetManager, admission, quarantine: {admit: () => Ok(undefined)}, forwarder: undefined as unknown as RequestForwarder,
+		metrics: createMetrics(), clock, events, stopWindow: createStopWindow({noticeMs: 1, clock}), computeStopRetryAfterMs: () => 100,
 	});
-	const server = await startCallerServer({host: '127.0.0.1', port: 0}, callers.serve);
-	return {server, settled, bring};
+	const server = await startCallerServer({host: '127.0.0.1', port: 0}, callerInterface.serve);
+	return {server, settled, deliverTokens};
 }
 
-// Guards against a request that is held past its time limit because its tokens do not come: peers that are asked for them
-// may each take 300 ms.
-test('a request whose tokens do not come ends at its time limit, and gives them back', async () => {
-	const {server, settled, bring} = await startGateway();
+// Guards against a request that is held past its timeout because its tokens do not arrive: each peer that is asked for
+// them may take 300 ms.
+test('a request whose tokens arrive too late is refused at its timeout and returns them', async () => {
+	const {server, settled, deliverTokens} = await startGateway();
 	const startedAt = performance.now();
 	const answer = await fetch(server.url, {method: 'POST', body: ''});
 	expect(answer.status).toBe(503);
-	expect(performance.now() - startedAt).toBeLessThan(timeout * 2);
-	bring();
+	expect(performance.now() - startedAt).toBeLessThan(timeoutMs * 2);
+	deliverTokens();
 	await wait(20);
 	expect(settled).toEqual([0]);
 	server.closeAllConnections();
--- a/src/daemon/gateway-interface.ts
+++ b/src/daemon/gateway-interface.ts
@@ -1,6 +1,6 @@
 /**
- * Serves callers' requests: finds route and customer, reserves tokens, has
- * the request forwarded, and settles what it used.
+ * Serves callers' requests: finds the route and the customer, reserves tokens,
+ * forwards the request to an upstream, and settles the tokens used.
  *
  * @module
  */
@@ -23,8 +23,8 @@
 /** Options of {@linkcode createGatewayInterface}. */
 export type CreateGatewayInterfaceOptions = {
 	readonly wire: GatewayWire;
-	readonly findTable: () => RouteTable | undefined;
-	readonly keeper: BudgetManager;
+	readonly findRouteTable: () => RouteTable | undefined;
+	readonly budgetManager: BudgetManager;
 	readonly forwarder: RequestForwarder;
 	readonly metrics: Metrics;
 	readonly clock: Clock;
@@ -32,52 +32,52 @@
 	readonly stopWindow: StopWindow;
 	readonly admission: Admission;
 	readonly quarantine: Pick<Quarantine, 'admit'>;
-	/** When a caller may come back whom a stopping gateway refuses, in milliseconds. */
-	readonly findLeavingRetryAfter: () => number;
+	/** Returns the time after which a caller refused by a stopping gateway may retry, in milliseconds. */
+	readonly computeStopRetryAfterMs: () => number;
 };
 
-/** How a request came to a gateway that is stopping. */
-type LateArrival = {
-	/** Milliseconds since the stop began. */
+/** Log fields of a request that arrived while the gateway was stopping. */
+type ArrivalDuringStop = {
+	/** Time since the stop began, in milliseconds. */
 	readonly stoppingMs: number;
-	/** Which request of its connection it is, from 1. */
+	/** Position of the request on its connection, starting at 1. */
 	readonly onConnection: number;
 };
 
-/** A request whose route and customer are known. */
-type Admitted = {
-	readonly facts: RequestMetadata;
+/** A request whose route, service and customer are known. */
+type ResolvedRequest = {
+	readonly metadata: RequestMetadata;
 	readonly route: Route;
 	readonly service: GatewayService;
 	readonly customer: GatewayCustomer | undefined;
 };
 
-/** How long a request may take, and when that ends on the steady clock, in milliseconds. */
-type TimeLimit = {readonly span: number; readonly deadline: number};
+/** Timeout of a request, and its deadline on the monotonic clock, in milliseconds. */
+type RequestTimeout = {readonly timeoutMs: number; readonly deadline: number};
 
-/** What a request that is being served ends by, and how it came. */
-type Serving = {
+/** State of a request while it is being served. */
+type RequestContext = {
 	readonly answer: CallerAnswer;
-	readonly leaving: AbortController;
-	readonly arrival: LateArrival | undefined;
-	/** What makes it the same request when it is sent again; known once its body is read. */
+	readonly abortController: AbortController;
+	readonly arrival: ArrivalDuringStop | undefined;
+	/** Digest shared by all repeats of the request; set once the body has been read. */
 	digest?: string;
 };
 
-/** Serves callers' requests. */
+/** The interface for callers of a gateway. */
 export type GatewayInterface = ReturnType<typeof createGatewayInterface>;
 
-/** When a caller may come back to a gateway that has just started, in milliseconds. */
-const notReadyRetryAfter = 1000;
-/** Share of a request's time that it may wait for a claim; a store that is slow takes 0.5 s for one. */
-const claimShare = 0.15;
-/** Requests that one line of the log names; a gateway begins 26 a second at 10,000 over 390 daemons. */
-const namedRequests = 20;
-const callerLeft = 'The caller has left';
-const gatewayEnds = 'This gateway ends';
-const deadlinePassed = 'The time limit has passed';
-
-/** @internal Picks a service by weight; the request's id decides, so that a repeated look picks the same. */
+/** Retry delay for a caller of a gateway that has just started. */
+const notReadyRetryAfterMs = 1000;
+/** Share of a request's timeout that it may wait for a claim; a slow store takes 0.5 s per claim. */
+const claimTimeoutShare = 0.15;
+/** Maximum number of request IDs in one log line; a gateway starts 26 requests per second when 390 daemons share 10,000. */
+const maxLoggedRequests = 20;
+const callerDisconnected = 'The caller disconnected';
+const gatewayClosing = 'This gateway is shutting down';
+const requestTimedOut = 'The request timed out';
+
+/** @internal Picks a service by weight. The choice is derived from the request ID, so a repeated lookup returns the same service. */
 function pickService(route: Route, id: string): string {
 	const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
 	let hash = 0;
@@ -85,10 +85,10 @@
 		hash = ((hash * 31) + character.codePointAt(0)!) % 1_000_003;
 	}
 
-	let point = (hash / 1_000_003) * total;
+	let remainingWeight = (hash / 1_000_003) * total;
 	for (const target of route.targets) {
-		point -= target.weight;
-		if (point < 0) {
+		remainingWeight -= target.weight;
+		if (remainingWeight < 0) {
 			return target.service;
 		}
 	}
@@ -96,8 +96,8 @@
 	return route.targets.at(-1)!.service;
 }
 
-/** @internal The tokens that a request used: its prompt once if it may have been read, and what was delivered. */
-function computeUsed(request: ForwardRequest, report: ForwardReport): number {
+/** @internal Counts the tokens that a request used: its prompt once if it may have run, and the delivered output. */
+function computeUsedTokens(request: ForwardRequest, report: ForwardReport): number {
 	const {generation, service} = request;
 	if (!generation || !report.mayHaveRun) {
 		return 0;
@@ -108,302 +108,303 @@
 }
 
 /**
- * Creates the interface to callers.
+ * Creates the interface for callers.
  *
  * @example
  * ```ts
  * await startCallerServer(address, createGatewayInterface(options).serve);
  * ```
  *
- * @param options Parts of the gateway
+ * @param options Components of the gateway
  * @returns The interface
  */
 export function createGatewayInterface(options: CreateGatewayInterfaceOptions) {
 	const {
-		wire, findTable, keeper, forwarder, metrics, clock, events, stopWindow, admission, quarantine, findLeavingRetryAfter,
+		wire, findRouteTable, budgetManager, forwarder, metrics, clock, events, stopWindow, admission, quarantine, computeStopRetryAfterMs,
 	} = options;
-	const running = new Set<IncomingMessage>();
-	const served = new WeakMap<Socket, number>();
-	let isEnding = false;
+	const runningRequests = new Set<IncomingMessage>();
+	const requestCounts = new WeakMap<Socket, number>();
+	let isClosing = false;
 
-	function identify(table: RouteTable, route: Route, key: string | undefined): Result<GatewayCustomer | undefined, Failure> {
+	function identifyCustomer(table: RouteTable, route: Route, key: string | undefined): Result<GatewayCustomer | undefined, Failure> {
 		const customer = key === undefined ? undefined : table.findCustomerByKey(key);
 		const isAllowed = customer !== undefined || !table.shouldRequireKeys || route.isOpen;
 		return isAllowed
 			? Ok(customer)
-			: Err(createFailure('unknown-key', 'The request carries no key of a customer'));
+			: Err(createFailure('unknown-key', 'The request contains no valid customer key'));
 	}
 
-	function admit(request: IncomingMessage): Result<Admitted, Failure> {
-		const table = findTable();
+	function resolveRequest(request: IncomingMessage): Result<ResolvedRequest, Failure> {
+		const table = findRouteTable();
 		if (!table) {
-			return Err(createFailure('not-ready', 'This gateway has no configuration yet', {retryAfterMs: notReadyRetryAfter}));
+			return Err(createFailure('not-ready', 'This gateway has no configuration yet', {retryAfterMs: notReadyRetryAfterMs}));
 		}
 
-		const facts = wire.readRequest(request.headers);
-		if (facts.err) {
-			return facts;
+		const metadata = wire.readRequest(request.headers);
+		if (metadata.err) {
+			return metadata;
 		}
 
 		const path = (request.url ?? '/').split('?', 1)[0]!;
 		const route = table.findRoute(request.headers.host ?? '', path);
 		if (!route) {
-			return Err(createFailure('unknown-route', `No route has the host "${request.headers.host ?? ''}" and begins "${path}"`));
+			return Err(createFailure('unknown-route', `No route matches host "${request.headers.host ?? ''}" and path "${path}"`));
 		}
 
-		const customer = identify(table, route, facts.val.key);
+		const customer = identifyCustomer(table, route, metadata.val.key);
 		if (customer.err) {
 			return customer;
 		}
 
-		const id = pickService(route, facts.val.id ?? '');
+		const id = pickService(route, metadata.val.id ?? '');
 		const service = table.findService(id);
 		return service
 			? Ok({
-				facts: facts.val, route, service, customer: customer.val,
+				metadata: metadata.val, route, service, customer: customer.val,
 			})
-			: Err(createFailure('no-upstream', `Service "${id}" is not configured`, {retryAfterMs: notReadyRetryAfter}));
+			: Err(createFailure('no-upstream', `Service "${id}" is not configured`, {retryAfterMs: notReadyRetryAfterMs}));
 	}
 
-	async function reserve({facts, customer}: Admitted, span: number): Promise<Result<TokenReservation | undefined, Failure>> {
-		const {generation} = facts;
+	async function reserveTokens({metadata, customer}: ResolvedRequest, timeoutMs: number): Promise<Result<TokenReservation | undefined, Failure>> {
+		const {generation} = metadata;
 		return generation && customer?.bought !== undefined
-			? keeper.acquire(customer.id, generation.promptTokens + generation.maxOutputTokens, {timeoutMs: span * claimShare, request: facts.id})
+			? budgetManager.acquire(customer.id, generation.promptTokens + generation.maxOutputTokens, {timeoutMs: timeoutMs * claimTimeoutShare, request: metadata.id})
 			: Ok(undefined);
 	}
 
-	function checkTimeLeft(deadline: number): Result<undefined, Failure> {
+	function checkRemainingTime(deadline: number): Result<undefined, Failure> {
 		return stopWindow.hasTimeFor(deadline - clock.now())
 			? Ok(undefined)
-			: Err(createFailure('leaving', 'This gateway stops before the request could end', {retryAfterMs: findLeavingRetryAfter()}));
+			: Err(createFailure('leaving', 'This gateway will stop before the request could finish', {retryAfterMs: computeStopRetryAfterMs()}));
 	}
 
-	// Guards against an answer that is begun and then cut by the end of a stop, which shows as a lost request. The body and
-	// the tokens can each take seconds of the stop, so what is left is looked at after both, last before the sending.
-	async function reserveInTime(admitted: Admitted, {span, deadline}: TimeLimit): Promise<Result<TokenReservation | undefined, Failure>> {
-		const before = checkTimeLeft(deadline);
+	// Guards against a response that is started and then aborted at the end of a stop, which the caller sees as a lost
+	// request. Reading the body and reserving the tokens can each take seconds, so the remaining time is checked after each
+	// of them, the last time just before the request is sent.
+	async function reserveTokensInTime(resolved: ResolvedRequest, {timeoutMs, deadline}: RequestTimeout): Promise<Result<TokenReservation | undefined, Failure>> {
+		const before = checkRemainingTime(deadline);
 		if (before.err) {
 			return before;
 		}
 
-		const reservation = await reserve(admitted, span);
-		const after = checkTimeLeft(deadline);
+		const reservation = await reserveTokens(resolved, timeoutMs);
+		const after = checkRemainingTime(deadline);
 		if (after.ok || reservation.err) {
 			return reservation;
 		}
 
 		if (reservation.val) {
-			keeper.settle(reservation.val, 0);
+			budgetManager.settle(reservation.val, 0);
 		}
 
 		return after;
 	}
 
-	function countOnConnection({socket}: IncomingMessage): number {
-		const count = (served.get(socket) ?? 0) + 1;
-		served.set(socket, count);
+	function countConnectionRequests({socket}: IncomingMessage): number {
+		const count = (requestCounts.get(socket) ?? 0) + 1;
+		requestCounts.set(socket, count);
 		return count;
 	}
 
-	function describeArrival(request: IncomingMessage): LateArrival | undefined {
-		const onConnection = countOnConnection(request);
-		const elapsed = stopWindow.countElapsed();
+	function describeArrival(request: IncomingMessage): ArrivalDuringStop | undefined {
+		const onConnection = countConnectionRequests(request);
+		const elapsed = stopWindow.computeElapsedMs();
 		return elapsed === undefined ? undefined : {stoppingMs: Math.round(elapsed), onConnection};
 	}
 
-	function note(request: ForwardRequest, report: ForwardReport, {reserveMs, arrival}: {readonly reserveMs: number; readonly arrival: LateArrival | undefined}): void {
+	function recordOutcome(request: ForwardRequest, report: ForwardReport, {reserveMs, arrival}: {readonly reserveMs: number; readonly arrival: ArrivalDuringStop | undefined}): void {
 		const {route, customer, startedAt} = request;
 		events.write('requestEnded', {
-			request: request.id, route: route.id, version: findTable()?.version, customer, ...report, used: computeUsed(request, report),
+			request: request.id, route: route.id, version: findRouteTable()?.version, customer, ...report, used: computeUsedTokens(request, report),
 			reserveMs: Math.round(reserveMs), ms: Math.round(clock.now() - startedAt), ...arrival,
 		});
 		const labels = {customer: customer ?? '-', class: route.id};
 		if (report.result === 'served') {
 			metrics.recordServed(labels, {
-				firstMs: report.firstMs ?? 0, totalMs: clock.now() - startedAt, gapMs: 0, tokens: computeUsed(request, report),
+				firstMs: report.firstMs ?? 0, totalMs: clock.now() - startedAt, gapMs: 0, tokens: computeUsedTokens(request, report),
 			});
 		} else {
 			metrics.recordRefused(labels, report.mayHaveRun ? 'outcome-unknown' : 'overloaded');
 		}
 	}
 
-	function refuse({answer, arrival, digest}: Serving, id: string | undefined, failure: Failure): void {
+	function refuse({answer, arrival, digest}: RequestContext, id: string | undefined, failure: Failure): void {
 		answer.refuse(failure);
 		events.write('requestRefused', {
 			request: id, type: failure.type, detail: failure.detail, digest, ...arrival,
 		});
 	}
 
-	// The request has ended by its time limit, or its caller has left, before anything was sent.
-	function refuseUnsent(serving: Serving, id: string | undefined): void {
-		const {message} = serving.leaving.signal.reason as Error;
-		refuse(serving, id, createFailure('overloaded', `Nothing was sent: ${message}`, {retryAfterMs: notReadyRetryAfter}));
+	// Refuses a request that timed out, or whose caller disconnected, before anything was sent to an upstream.
+	function refuseUnsent(context: RequestContext, id: string | undefined): void {
+		const {message} = context.abortController.signal.reason as Error;
+		refuse(context, id, createFailure('overloaded', `The request was not sent to an upstream: ${message}`, {retryAfterMs: notReadyRetryAfterMs}));
 	}
 
-	// Gives tokens back that came after the request had ended.
-	async function returnLate(pending: Promise<Result<TokenReservation | undefined, Failure>>): Promise<void> {
-		const late = await pending;
-		if (late.ok && late.val) {
-			keeper.settle(late.val, 0);
+	// Returns tokens whose reservation completed after the request had ended.
+	async function releaseLateReservation(pending: Promise<Result<TokenReservation | undefined, Failure>>): Promise<void> {
+		const reservation = await pending;
+		if (reservation.ok && reservation.val) {
+			budgetManager.settle(reservation.val, 0);
 		}
 	}
 
-	function findPriority({route, customer}: Admitted): number {
+	function getPriority({route, customer}: ResolvedRequest): number {
 		return customer?.priority ?? route.priority;
 	}
 
-	function findSpan({route, facts}: Admitted): number {
-		return Math.min(route.timeout, facts.timeoutMs ?? route.timeout);
+	function computeTimeoutMs({route, metadata}: ResolvedRequest): number {
+		return Math.min(route.timeout, metadata.timeoutMs ?? route.timeout);
 	}
 
-	async function serveInTurn(request: IncomingMessage, admitted: Admitted, serving: Serving): Promise<void> {
-		const entered = admission.admit({priority: findPriority(admitted), timeoutMs: findSpan(admitted)});
-		if (entered.err) {
-			refuse(serving, admitted.facts.id, entered.val);
+	async function serveWithAdmission(request: IncomingMessage, resolved: ResolvedRequest, context: RequestContext): Promise<void> {
+		const permit = admission.admit({priority: getPriority(resolved), timeoutMs: computeTimeoutMs(resolved)});
+		if (permit.err) {
+			refuse(context, resolved.metadata.id, permit.val);
 			return;
 		}
 
 		try {
-			await serveAdmitted(request, admitted, serving);
+			await serveAdmitted(request, resolved, context);
 		} finally {
-			entered.val();
+			permit.val();
 		}
 	}
 
-	async function serveAdmitted(request: IncomingMessage, admitted: Admitted, serving: Serving): Promise<void> {
-		const {facts, route, service, customer} = admitted;
-		const {answer, leaving, arrival} = serving;
+	async function serveAdmitted(request: IncomingMessage, resolved: ResolvedRequest, context: RequestContext): Promise<void> {
+		const {metadata, route, service, customer} = resolved;
+		const {answer, abortController, arrival} = context;
 		const startedAt = clock.now();
-		const span = findSpan(admitted);
-		const deadline = startedAt + span;
+		const timeoutMs = computeTimeoutMs(resolved);
+		const deadline = startedAt + timeoutMs;
 		const timer = setTimeout(() => {
-			leaving.abort(new Error(deadlinePassed));
-		}, span);
+			abortController.abort(new Error(requestTimedOut));
+		}, timeoutMs);
 		try {
-			const limit = findTable()!.deployment.limits.bodyBytes;
-			const body = await waitUnlessAborted(readBody(request, limit), leaving.signal);
+			const maxBodyBytes = findRouteTable()!.deployment.limits.bodyBytes;
+			const body = await waitUnlessAborted(readBody(request, maxBodyBytes), abortController.signal);
 			if (!body) {
-				refuseUnsent(serving, facts.id);
+				refuseUnsent(context, metadata.id);
 				return;
 			}
 
 			if (body.err) {
-				refuse(serving, facts.id, body.val);
+				refuse(context, metadata.id, body.val);
 				return;
 			}
 
 			const digest = computeRequestDigest({
 				host: request.headers.host, method: request.method, path: request.url, customer: customer?.id, body: body.val,
 			});
-			serving.digest = digest;
-			const released = quarantine.admit(digest);
-			if (released.err) {
-				refuse(serving, facts.id, released.val);
+			context.digest = digest;
+			const quarantineCheck = quarantine.admit(digest);
+			if (quarantineCheck.err) {
+				refuse(context, metadata.id, quarantineCheck.val);
 				return;
 			}
 
-			const readAt = clock.now();
-			const pending = reserveInTime(admitted, {span, deadline});
-			const reservation = await waitUnlessAborted(pending, leaving.signal);
-			const reserveMs = clock.now() - readAt;
+			const bodyReadAt = clock.now();
+			const pendingReservation = reserveTokensInTime(resolved, {timeoutMs, deadline});
+			const reservation = await waitUnlessAborted(pendingReservation, abortController.signal);
+			const reserveMs = clock.now() - bodyReadAt;
 			if (!reservation) {
-				void returnLate(pending);
-				refuseUnsent(serving, facts.id);
+				void releaseLateReservation(pendingReservation);
+				refuseUnsent(context, metadata.id);
 				return;
 			}
 
 			if (reservation.err) {
-				refuse(serving, facts.id, reservation.val);
+				refuse(context, metadata.id, reservation.val);
 				return;
 			}
 
-			// Guards against work for callers who have left: a gateway that fell behind by seconds would send on each request
-			// that it finds waiting, and upstreams would work for nobody while those who still wait are served later.
+			// Guards against work for callers who have disconnected: a gateway that is seconds behind would forward every
+			// queued request, and upstreams would run abandoned requests while callers who still wait are delayed.
 			await readPendingInput();
-			if (leaving.signal.aborted) {
+			if (abortController.signal.aborted) {
 				if (reservation.val) {
-					keeper.settle(reservation.val, 0);
+					budgetManager.settle(reservation.val, 0);
 				}
 
-				refuseUnsent(serving, facts.id);
+				refuseUnsent(context, metadata.id);
 				return;
 			}
 
-			const forward: ForwardRequest = {
-				id: facts.id,
+			const forwardRequest: ForwardRequest = {
+				id: metadata.id,
 				digest,
 				route,
 				service,
 				customer: customer?.id,
-				priority: findPriority(admitted),
+				priority: getPriority(resolved),
 				method: request.method ?? 'GET',
 				path: request.url ?? '/',
 				rawHeaders: request.rawHeaders,
 				body: body.val.length > 0 ? body.val : undefined,
-				generation: facts.generation,
-				lastEventId: facts.lastEventId,
+				generation: metadata.generation,
+				lastEventId: metadata.lastEventId,
 				startedAt,
 				deadline,
-				signal: leaving.signal,
+				signal: abortController.signal,
 				answer,
 			};
-			const report = await forwarder.forward(forward);
+			const report = await forwarder.forward(forwardRequest);
 			if (reservation.val) {
-				keeper.settle(reservation.val, computeUsed(forward, report));
+				budgetManager.settle(reservation.val, computeUsedTokens(forwardRequest, report));
 			}
 
-			note(forward, report, {reserveMs, arrival});
+			recordOutcome(forwardRequest, report, {reserveMs, arrival});
 		} finally {
 			clearTimeout(timer);
 		}
 	}
 
 	return {
-		countRunning: () => running.size,
+		countRunning: () => runningRequests.size,
 
-		/** The running requests, for the log. */
-		describeRunning: () => ({running: running.size, requests: [...running].slice(0, namedRequests).map(({headers}) => wire.readRequestId(headers)).join(' ')}),
+		/** Returns the number of running requests and the IDs of some of them, as log fields. */
+		describeRunning: () => ({running: runningRequests.size, requests: [...runningRequests].slice(0, maxLoggedRequests).map(({headers}) => wire.readRequestId(headers)).join(' ')}),
 
-		/** Notes that connections are now cut, so that callers are not said to have left. */
-		noteEnding(): void {
-			isEnding = true;
+		/** Records that the gateway closes its connections, so that the close is not attributed to the callers. */
+		markClosing(): void {
+			isClosing = true;
 		},
 
-		/** Answers one request and resolves when its answer is sent; never rejects. */
+		/** Serves one request and resolves when its response has been sent; never rejects. */
 		async serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
 			const answer = createCallerAnswer(response, wire);
-			const leaving = new AbortController();
+			const abortController = new AbortController();
 			response.on('close', () => {
 				if (!response.writableFinished) {
-					leaving.abort(new Error(isEnding ? gatewayEnds : callerLeft));
+					abortController.abort(new Error(isClosing ? gatewayClosing : callerDisconnected));
 				}
 			});
 			response.on('error', error => {
 				events.write('callerLost', {detail: error.message});
 			});
-			// The end of the caller's side is read before the response closes, which takes further rounds of the event loop.
-			const noteEnd = () => {
-				leaving.abort(new Error(isEnding ? gatewayEnds : callerLeft));
+			// The end of the caller's side of the socket is seen some event loop iterations before the response closes.
+			const abortRequest = () => {
+				abortController.abort(new Error(isClosing ? gatewayClosing : callerDisconnected));
 			};
 
-			request.socket.on('end', noteEnd);
-			const serving: Serving = {answer, leaving, arrival: describeArrival(request)};
-			running.add(request);
+			request.socket.on('end', abortRequest);
+			const context: RequestContext = {answer, abortController, arrival: describeArrival(request)};
+			runningRequests.add(request);
 			try {
-				const admitted = admit(request);
-				if (admitted.err) {
-					refuse(serving, wire.readRequestId(request.headers), admitted.val);
+				const resolved = resolveRequest(request);
+				if (resolved.err) {
+					refuse(context, wire.readRequestId(request.headers), resolved.val);
 				} else {
-					await serveInTurn(request, admitted.val, serving);
+					await serveWithAdmission(request, resolved.val, context);
 				}
 			} catch (error) {
-				// The caller broke off while its body was read, or the gateway is at fault; either way only this request ends.
+				// The caller disconnected while its body was read, or the gateway has a bug; only this request is aborted.
 				events.write('requestFailed', {request: wire.readRequestId(request.headers), detail: (error as Error).stack ?? String(error)});
 				answer.abort();
 			} finally {
 				await waitUntilSent(request, response);
-				request.socket.off('end', noteEnd);
-				running.delete(request);
+				request.socket.off('end', abortRequest);
+				runningRequests.delete(request);
 			}
 		},
 	};
--- a/src/daemon/gateway-metrics.ts
+++ b/src/daemon/gateway-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * A gateway's metrics as text.
+ * Formats the metrics of a gateway as text.
  *
  * @module
  */
@@ -13,17 +13,17 @@
 export type FormatGatewayMetricsOptions = {
 	readonly metrics: Metrics;
 	readonly events: EventLog;
-	/** Requests that run. */
-	readonly running: number;
+	/** Number of running requests. */
+	readonly runningRequests: number;
 	/** Version of the deployment in force. */
-	readonly version: number;
+	readonly deploymentVersion: number;
 	readonly account: TokenAccount;
 	readonly admission: Pick<Admission, 'getLimit' | 'getLagMs'>;
 	readonly quarantine: Pick<Quarantine, 'listAll' | 'listHeld'>;
-	/** What callers have asked of this gateway. */
-	readonly work: CallerServerStatistics;
-	/** Readiness questions that were answered. */
-	readonly readinessAnswers: number;
+	/** Connections and requests of this gateway's callers. */
+	readonly callerServerStatistics: CallerServerStatistics;
+	/** Number of answered readiness checks. */
+	readonly readinessResponses: number;
 };
 
 /**
@@ -31,28 +31,30 @@
  *
  * @example
  * ```ts
- * response.end(formatGatewayMetrics({metrics, events, running: 3, version: 7, account}));
+ * response.end(formatGatewayMetrics({
+ * 	metrics, events, runningRequests: 3, deploymentVersion: 7, account, admission, quarantine, callerServerStatistics, readinessResponses: 2,
+ * }));
  * ```
  *
- * @param options What is told
- * @returns The text
+ * @param options The sources of the metrics
+ * @returns The metrics, one per line
  */
 export function formatGatewayMetrics(options: FormatGatewayMetricsOptions): string {
 	const {
-		metrics, events, running, version, account, admission, quarantine, work, readinessAnswers,
+		metrics, events, runningRequests, deploymentVersion, account, admission, quarantine, callerServerStatistics, readinessResponses,
 	} = options;
 	const lines = [
-		`fireflylane_requests_running ${running}`,
-		`fireflylane_deployment_version ${version}`,
+		`fireflylane_requests_running ${runningRequests}`,
+		`fireflylane_deployment_version ${deploymentVersion}`,
 		`fireflylane_resident_bytes ${process.memoryUsage.rss()}`,
 		`fireflylane_event_loop_late_ms ${admission.getLagMs()}`,
 		`fireflylane_requests_bound ${Number.isFinite(admission.getLimit()) ? Math.floor(admission.getLimit()) : '+Inf'}`,
-		`fireflylane_connections_open ${work.open}`,
-		`fireflylane_connections_accepted_total ${work.connections}`,
-		`fireflylane_requests_begun_total ${work.requests}`,
+		`fireflylane_connections_open ${callerServerStatistics.open}`,
+		`fireflylane_connections_accepted_total ${callerServerStatistics.connections}`,
+		`fireflylane_requests_begun_total ${callerServerStatistics.requests}`,
 		`fireflylane_requests_suspected ${quarantine.listAll().filter(({crashes}) => crashes > 0).length}`,
 		`fireflylane_requests_held ${quarantine.listHeld().length}`,
-		`fireflylane_readiness_answers_total ${readinessAnswers}`,
+		`fireflylane_readiness_answers_total ${readinessResponses}`,
 	];
 	for (const [event, count] of events.counts) {
 		lines.push(`fireflylane_events_total{event="${event}"} ${count}`);
--- a/src/daemon/gateway-peer-interface.ts
+++ b/src/daemon/gateway-peer-interface.ts
@@ -1,5 +1,5 @@
 /**
- * Serves other gateways.
+ * Serves calls from other gateways.
  *
  * @module
  */
@@ -9,27 +9,27 @@
 
 /** Options of {@linkcode createGatewayPeerInterface}. */
 export type CreateGatewayPeerInterfaceOptions = {
-	readonly answerCatchUp: (ask: CatchUpAsk) => CatchUpAnswer;
-	readonly lend: (ask: TokenLoanRequest) => Promise<number>;
+	readonly handleCatchUp: (request: CatchUpAsk) => CatchUpAnswer;
+	readonly lend: (request: TokenLoanRequest) => Promise<number>;
 };
 
 /**
- * Creates the interface to other gateways.
+ * Creates the interface for other gateways.
  *
  * @example
  * ```ts
- * router.service(Gateway, createGatewayPeerInterface({answerCatchUp, lend}));
+ * router.service(Gateway, createGatewayPeerInterface({handleCatchUp, lend}));
  * ```
  *
- * @param options What answers
+ * @param options The functions that handle the calls
  * @returns The implementation of the service
  */
 export function createGatewayPeerInterface(options: CreateGatewayPeerInterfaceOptions): ServiceImpl<typeof Gateway> {
 	return {
-		catchUp(ask) {
-			const {deployment, prompts, crashes} = options.answerCatchUp(ask);
+		catchUp(request) {
+			const {deployment, prompts, crashes} = options.handleCatchUp(request);
 			return {deployment, prompts: [...prompts], crashes: [...crashes]};
 		},
-		lend: async ask => ({tokens: await options.lend(ask)}),
+		lend: async request => ({tokens: await options.lend(request)}),
 	};
 }
--- a/src/daemon/gateway-state.ts
+++ b/src/daemon/gateway-state.ts
@@ -1,6 +1,6 @@
 /**
- * What a gateway follows: the deployment, the upstreams and the grants, each
- * from its own keyed log.
+ * State that a gateway replicates from keyed logs: the deployment, the
+ * upstreams and the grants, each from its own log.
  *
  * @module
  */
@@ -15,11 +15,11 @@
 } from '../state/mod.js';
 import type {Clock} from '../transport/mod.js';
 
-/** What an adapter brings: the logs of a deployment, their decoding, and the wire. */
+/** An adapter to a platform: the logs of a deployment, their decoding, and the wire format. */
 export type GatewayAdapter = {
 	readonly wire: GatewayWire;
 	readonly logs: {readonly deployment: KeyedLog; readonly upstreams: KeyedLog; readonly grants: KeyedLog};
-	/** Key of the record that holds the deployment. */
+	/** Key of the record that contains the deployment. */
 	readonly deploymentKey: string;
 	readonly decodeDeployment: (text: string) => Deployment;
 	readonly decodeUpstream: (id: string, text: string) => UpstreamRegistration;
@@ -30,171 +30,170 @@
 export type CreateGatewayStateOptions = {
 	readonly adapter: GatewayAdapter;
 	readonly self: HolderIdentity;
-	/** Pause between two renewals of an upstream's entry, in milliseconds. */
-	readonly upstreamHeartbeat: number;
+	/** Interval at which an upstream renews its registration, in milliseconds. */
+	readonly upstreamHeartbeatMs: number;
 	readonly clock: Clock;
 	readonly events: EventLog;
 	/** Called with each deployment that comes into force. */
 	readonly onDeployment: (deployment: Deployment) => void;
-	/** Called with each own record of grants. */
-	readonly onOwnGrants: (record: HolderRecord) => void;
-	/** Called with each record of a request that is held back; throws if it cannot be read. */
-	readonly onQuarantine: (record: StoredRecord) => void;
+	/** Called with each grants record of this gateway. */
+	readonly onOwnRecord: (record: HolderRecord) => void;
+	/** Called with each record of a quarantined request; throws if the record is invalid. */
+	readonly onQuarantineRecord: (record: StoredRecord) => void;
 };
 
-/** What a gateway follows. */
+/** State that a gateway replicates from keyed logs. */
 export type GatewayState = ReturnType<typeof createGatewayState>;
 
-/** A read of the deployment waits this long for a change, in milliseconds; longer would hide a silent connection. */
-const deploymentWait = 1500;
-/** Pause between reads of the upstreams' records, in milliseconds: a quarter of the time for which one that left serves. */
-const upstreamsEvery = 500;
+/** Time for which a read of the deployment waits for a change; a longer wait would hide an unresponsive connection. */
+const deploymentLongPollMs = 1500;
+/** Interval between reads of the upstreams' records: a quarter of the time for which an upstream that left still serves. */
+const upstreamReadIntervalMs = 500;
 /**
- * A read of the deployment or of upstreams that takes longer, in milliseconds,
- * is sent a second time: more than a slow store takes, and little of the time
- * for which an upstream that left still serves.
+ * A read of the deployment or the upstreams that takes longer than this is sent
+ * a second time. Longer than a read of a slow store takes, and short compared
+ * to the time for which an upstream that left still serves.
  */
-const readPatience = 600;
-/** Pause between reads of the grants, in milliseconds; claims read by themselves. */
-const grantsEvery = 2000;
-
-/** Customers that one line of the log names; the line stays under 4 KB. */
-const namedCustomers = 100;
-
-/** @internal What customers have bought, of those for whom it differs from the deployment before. */
-function listChangedPurchases({customers = []}: Deployment, before: RouteTable | undefined): Record<string, number> {
-	const changed = customers.filter(({id, bought}) => bought !== undefined && bought !== before?.findCustomer(id)?.bought);
-	return Object.fromEntries(changed.slice(0, namedCustomers).map(({id, bought}) => [id, bought!]));
+const readTimeoutMs = 600;
+/** Interval between reads of the grants; a claim triggers its own read. */
+const grantReadIntervalMs = 2000;
+/** Maximum number of customers in one log line, which keeps the line under 4 KB. */
+const maxLoggedCustomers = 100;
+
+/** @internal Returns the tokens bought by each customer for whom they differ from the previous deployment. */
+function listChangedPurchases({customers = []}: Deployment, previous: RouteTable | undefined): Record<string, number> {
+	const changed = customers.filter(({id, bought}) => bought !== undefined && bought !== previous?.findCustomer(id)?.bought);
+	return Object.fromEntries(changed.slice(0, maxLoggedCustomers).map(({id, bought}) => [id, bought!]));
 }
 
 /**
- * Creates the state; `run` is its task.
+ * Creates the state; `run` keeps it up to date until the signal is aborted.
  *
  * @example
  * ```ts
  * const state = createGatewayState(options);
- * void state.run(signal);
+ * state.run(signal);
  * ```
  *
- * @param options The adapter and what is told of changes
+ * @param options The adapter and the callbacks for changes
  * @returns The state
  */
 export function createGatewayState(options: CreateGatewayStateOptions) {
 	const {adapter, clock, events} = options;
 	const ownKey = formatHolderKey(options.self);
 	const directory = createUpstreamDirectory();
-	const book = createGrantRegistry();
+	const grantRegistry = createGrantRegistry();
 	const account = createTokenAccount();
-	const grace = createExpiryGrace({heartbeatIntervalMs: options.upstreamHeartbeat});
-	let table: RouteTable | undefined;
+	const expiryGrace = createExpiryGrace({heartbeatIntervalMs: options.upstreamHeartbeatMs});
+	let routeTable: RouteTable | undefined;
 	let deploymentRecord = '';
 
-	// A record that cannot be read is told and skipped: the others must not wait for it.
-	function guardRecord(record: StoredRecord, take: () => void): void {
+	// Reports and skips a record that cannot be read, so that it does not block the records after it.
+	function applyOrSkip(record: StoredRecord, apply: () => void): void {
 		try {
-			take();
+			apply();
 		} catch (error) {
 			events.write('recordUnreadable', {key: record.key, offset: record.offset, detail: (error as Error).message});
 		}
 	}
 
-	// Records reach a gateway from the log and from peers, in any order; a version never goes down.
+	// Records arrive from the log and from peers in any order; the version in force never decreases.
 	function adoptDeployment(text: string, source: string): void {
 		const deployment = adapter.decodeDeployment(text);
-		if (deployment.version <= (table?.version ?? Number.NEGATIVE_INFINITY)) {
+		if (deployment.version <= (routeTable?.version ?? Number.NEGATIVE_INFINITY)) {
 			return;
 		}
 
-		const bought = listChangedPurchases(deployment, table);
-		table = createRouteTable(deployment);
+		const bought = listChangedPurchases(deployment, routeTable);
+		routeTable = createRouteTable(deployment);
 		deploymentRecord = text;
 		options.onDeployment(deployment);
 		events.write('deploymentAdopted', {version: deployment.version, source, bought: JSON.stringify(bought)});
 	}
 
-	function dropUpstream(key: string, offset: number): void {
+	function removeUpstream(key: string, offset: number): void {
 		const known = directory.get(key);
 		const now = clock.now();
-		directory.drop(key, grace.findGraceEnd(now));
+		directory.drop(key, expiryGrace.findGraceEnd(now));
 		events.write('upstreamGone', {
-			upstream: key, service: known?.service, wasDraining: known?.isDraining, offset, sinceReadMs: upstreams.computeStalenessMs(), graceMs: directory.computeRemainingGraceMs(key, now),
+			upstream: key, service: known?.service, wasDraining: known?.isDraining, offset, sinceReadMs: upstreamFollower.computeStalenessMs(), graceMs: directory.computeRemainingGraceMs(key, now),
 		});
 	}
 
-	function takeUpstream({key, value, offset}: StoredRecord): void {
+	function applyUpstreamRecord({key, value, offset}: StoredRecord): void {
 		if (value === undefined) {
-			dropUpstream(key, offset);
+			removeUpstream(key, offset);
 			return;
 		}
 
-		const entry = adapter.decodeUpstream(key, value);
+		const registration = adapter.decodeUpstream(key, value);
 		const known = directory.get(key);
 		const wasOnGrace = directory.computeRemainingGraceMs(key, clock.now()) > 0;
-		directory.put(entry, clock.now());
-		if (known?.isDraining !== entry.isDraining || wasOnGrace) {
+		directory.put(registration, clock.now());
+		if (known?.isDraining !== registration.isDraining || wasOnGrace) {
 			events.write('upstreamListed', {
-				upstream: key, service: entry.service, isDraining: entry.isDraining, offset, sinceReadMs: upstreams.computeStalenessMs(),
+				upstream: key, service: registration.service, isDraining: registration.isDraining, offset, sinceReadMs: upstreamFollower.computeStalenessMs(),
 			});
 		}
 	}
 
-	function takeGrants(stored: StoredRecord): void {
+	function applyGrantRecord(stored: StoredRecord): void {
 		const {key, value} = stored;
 		if (isQuarantineKey(key)) {
-			options.onQuarantine(stored);
+			options.onQuarantineRecord(stored);
 			return;
 		}
 
 		const record = holderRecordSchema.parse(JSON.parse(value ?? 'null'));
-		book.put(key, record);
+		grantRegistry.put(key, record);
 		if (key === ownKey) {
-			options.onOwnGrants(record);
+			options.onOwnRecord(record);
 		}
 	}
 
-	function takeDeployment({key, value}: StoredRecord): void {
+	function applyDeploymentRecord({key, value}: StoredRecord): void {
 		if (key === adapter.deploymentKey && value !== undefined) {
 			adoptDeployment(value, 'log');
 		}
 	}
 
-	const guard = (take: (record: StoredRecord) => void) => (record: StoredRecord) => {
-		guardRecord(record, () => {
-			take(record);
+	const skipUnreadable = (apply: (record: StoredRecord) => void) => (record: StoredRecord) => {
+		applyOrSkip(record, () => {
+			apply(record);
 		});
 	};
 
-	const deployments = createKeyedFollower({
-		log: adapter.logs.deployment, clock, events, longPollMs: deploymentWait, readIntervalMs: 0, readTimeoutMs: readPatience, onRecord: guard(takeDeployment),
+	const deploymentFollower = createKeyedFollower({
+		log: adapter.logs.deployment, clock, events, longPollMs: deploymentLongPollMs, readIntervalMs: 0, readTimeoutMs, onRecord: skipUnreadable(applyDeploymentRecord),
 	});
-	const upstreams: KeyedFollower = createKeyedFollower({
-		log: adapter.logs.upstreams, clock, events, longPollMs: 0, readIntervalMs: upstreamsEvery, readTimeoutMs: readPatience, onRecord: guard(takeUpstream),
-		listKnownKeys: directory.listIds, onRecovery: grace.recordOutage,
+	const upstreamFollower: KeyedFollower = createKeyedFollower({
+		log: adapter.logs.upstreams, clock, events, longPollMs: 0, readIntervalMs: upstreamReadIntervalMs, readTimeoutMs, onRecord: skipUnreadable(applyUpstreamRecord),
+		listKnownKeys: directory.listIds, onRecovery: expiryGrace.recordOutage,
 	});
-	const grants = createKeyedFollower({
-		log: adapter.logs.grants, clock, events, longPollMs: 0, readIntervalMs: grantsEvery, onRecord: guard(takeGrants),
+	const grantFollower = createKeyedFollower({
+		log: adapter.logs.grants, clock, events, longPollMs: 0, readIntervalMs: grantReadIntervalMs, onRecord: skipUnreadable(applyGrantRecord),
 	});
 
 	return {
-		directory, book, account, grants,
-		/** Age of what is known of upstreams, in whole milliseconds; undefined while nothing is. */
-		countViewAge: () => upstreams.computeStalenessMs(),
-		findTable: () => table,
-		/** The record of the deployment in force, to hand on to peers. */
-		deploymentRecord: () => deploymentRecord,
-
-		/** Takes a deployment's record from a peer. */
+		directory, grantRegistry, account, grantFollower,
+		/** Returns the age of the upstreams' data, in whole milliseconds; undefined before the first read. */
+		computeViewAgeMs: () => upstreamFollower.computeStalenessMs(),
+		findRouteTable: () => routeTable,
+		/** Returns the record of the deployment in force, to send to peers. */
+		getDeploymentRecord: () => deploymentRecord,
+
+		/** Adopts a deployment record received from a peer if it is newer. */
 		adoptFromPeer(text: string, peer: string): void {
-			guardRecord({key: adapter.deploymentKey, value: text, offset: -1}, () => {
+			applyOrSkip({key: adapter.deploymentKey, value: text, offset: -1}, () => {
 				adoptDeployment(text, peer);
 			});
 		},
 
-		/** True while requests can be served. */
-		isReady: () => table !== undefined && directory.hasLive(clock.now()),
+		/** Returns true if requests can be served. */
+		isReady: () => routeTable !== undefined && directory.hasLive(clock.now()),
 
 		run(signal: AbortSignal): void {
-			for (const follower of [deployments, upstreams, grants]) {
+			for (const follower of [deploymentFollower, upstreamFollower, grantFollower]) {
 				void follower.run(signal);
 			}
 		},
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -1,5 +1,5 @@
 /**
- * Reads settings, starts the daemon they describe, and stops it on a signal.
+ * Reads the settings, starts the daemon that they describe, and stops it on a signal.
  *
  * @module
  */
@@ -14,30 +14,30 @@
 
 /** Options of {@linkcode runDaemon}. */
 export type RunDaemonOptions = {
-	/** The settings file. */
+	/** Path of the settings file. */
 	readonly settings: string;
-	/** The daemon wanted of a deployment file; default the only one. */
+	/** ID of the daemon to run from a file that describes several; by default the only one. */
 	readonly daemon?: string;
-	/** Only check the settings; default false. */
+	/** Validates the settings without starting the daemon; default false. */
 	readonly check?: boolean;
-	/** Starts the daemon; default by the settings' role. */
+	/** Starts the daemon; by default the one for the role in the settings. */
 	readonly start?: StartDaemon;
 };
 
-/** Starts a daemon from checked settings. */
+/** Starts a daemon from validated settings. */
 export type StartDaemon = (settings: Settings) => Promise<RunningDaemon>;
 
-const cutExitCode = 1;
+const abortExitCode = 1;
 
 /**
- * Starts the daemon that the settings describe.
+ * Starts an entry or upstream daemon, depending on the role in the settings.
  *
  * @example
  * ```ts
  * const daemon = await startDaemon(settings);
  * ```
  *
- * @param settings Checked settings
+ * @param settings Validated settings
  * @returns The running daemon
  */
 export async function startDaemon(settings: Settings): Promise<RunningDaemon> {
@@ -45,15 +45,15 @@
 }
 
 /**
- * Stops a daemon on SIGTERM and SIGINT, or when another process takes its name.
+ * Stops a daemon on SIGTERM and SIGINT, or when another process joins under its name.
  *
- * Two updates that overlap both send SIGTERM. A stop that ended at the second
- * one would cut answers that it has seconds to finish, so it goes on; its end
- * is bounded, and SIGKILL is there for whoever cannot wait. A second SIGINT
- * comes from a person at a terminal: it ends the stop at once, and the log says
- * what it cut.
+ * A repeated SIGTERM does not end a stop in progress: two overlapping updates
+ * both send one, and ending the stop would abort responses that still have
+ * seconds to finish. The duration of a stop is limited, and SIGKILL ends the
+ * process immediately. A second SIGINT comes from a person at a terminal: it
+ * ends the process immediately, and the aborted requests are logged.
  */
-export function installSignals(daemon: RunningDaemon, events: EventLog): void {
+export function installSignalHandlers(daemon: RunningDaemon, events: EventLog): void {
 	let isStopping = false;
 	const stop = async () => {
 		if (isStopping) {
@@ -66,25 +66,25 @@
 		process.exit(0); // eslint-disable-line unicorn/no-process-exit
 	};
 
-	const stopOrCut = async () => {
+	const stopOrAbort = async () => {
 		if (isStopping) {
 			daemon.cut();
-			process.exit(cutExitCode); // eslint-disable-line unicorn/no-process-exit
+			process.exit(abortExitCode); // eslint-disable-line unicorn/no-process-exit
 		}
 
 		await stop();
 	};
 
 	process.on('SIGTERM', stop);
-	process.on('SIGINT', stopOrCut);
+	process.on('SIGINT', stopOrAbort);
 	void daemon.superseded.then(stop); // eslint-disable-line promise/prefer-await-to-then
 }
 
 /**
- * Ends the process after a fault that no call caught, with a log line: its
- * state is in doubt, and its host starts a new one.
+ * Logs an uncaught exception and exits: the state of the process may be
+ * inconsistent, and its host starts a new one.
  */
-export function installFailureLog(events: EventLog): void {
+export function installExceptionHandler(events: EventLog): void {
 	process.on('uncaughtException', error => {
 		events.write('daemonFailed', {error: error.stack ?? error.message});
 		process.exit(failureTable.internal.exitCode);
@@ -97,10 +97,10 @@
 }
 
 /** @internal */
-function checkOnly(file: string): void {
+function checkSettingsFile(file: string): void {
 	const checked = checkSettings(file);
 	if (checked.err) {
-		refuseToStart(formatIssues(file, checked.val));
+		reportStartFailure(formatIssues(file, checked.val));
 		return;
 	}
 
@@ -108,7 +108,7 @@
 }
 
 /** @internal */
-function refuseToStart(lines: readonly string[]): void {
+function reportStartFailure(lines: readonly string[]): void {
 	for (const line of lines) {
 		process.stderr.write(`${line}\n`);
 	}
@@ -117,25 +117,25 @@
 }
 
 /**
- * Runs a daemon until a signal stops it. Its first line on the standard output
- * is a JSON document with the addresses it listens on.
+ * Runs a daemon until a signal stops it. Its first line on standard output is a
+ * JSON document with the addresses that it listens on.
  *
  * @example
  * ```ts
  * await runDaemon({settings: 'settings/entry.yaml'});
  * ```
  *
- * @param options The settings file
+ * @param options The settings file and what to do with it
  */
 export async function runDaemon(options: RunDaemonOptions): Promise<void> {
 	if (options.check) {
-		checkOnly(options.settings);
+		checkSettingsFile(options.settings);
 		return;
 	}
 
 	const settings = readSettings(options.settings, {daemon: options.daemon});
 	if (settings.err) {
-		refuseToStart(formatIssues(options.settings, settings.val));
+		reportStartFailure(formatIssues(options.settings, settings.val));
 		return;
 	}
 
@@ -144,12 +144,12 @@
 	}
 
 	const events = createEventLog(settings.val.id);
-	installFailureLog(events);
+	installExceptionHandler(events);
 	try {
 		const daemon = await (options.start ?? startDaemon)(settings.val);
-		installSignals(daemon, events);
+		installSignalHandlers(daemon, events);
 		process.stdout.write(`${JSON.stringify({ready: settings.val.id, pid: process.pid, ...daemon.addresses})}\n`);
 	} catch (error) {
-		refuseToStart([error instanceof FailureError ? error.failure.detail : `Cannot start: ${(error as Error).message}`]);
+		reportStartFailure([error instanceof FailureError ? error.failure.detail : `The daemon failed to start: ${(error as Error).message}`]);
 	}
 }
--- a/src/daemon/mod.ts
+++ b/src/daemon/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon: interfaces to callers, operators and peers, and the wiring.
+ * The daemons: their interfaces for callers, operators and peers, and their assembly.
  *
  * @module
  */
@@ -10,5 +10,5 @@
 export * from './main.js';
 export * from './relay-daemon.js';
 export * from './relay-interface.js';
-export * from './run-direct-daemon.js';
+export * from './run-gateway-or-relay.js';
 export * from './upstream-daemon.js';
--- a/src/daemon/quarantine-interface.test.ts
+++ b/src/daemon/quarantine-interface.test.ts
@@ -21,7 +21,7 @@
 	return {server, quarantine};
 }
 
-test('an operator lists what is held back and lets it go once', async () => {
+test('an operator can list quarantined requests and release each of them once', async () => {
 	const {server, quarantine} = await startGateway('');
 	const listed = await fetch(`${server.url}/v1/quarantine`);
 	expect(await listed.json()).toMatchObject({held: [{digest: 'd1', crashes: 3}]});
@@ -33,7 +33,7 @@
 	server.closeAllConnections();
 });
 
-test('who lacks the operator key sees and changes nothing', async () => {
+test('without the operator key nothing can be listed or released', async () => {
 	const {server, quarantine} = await startGateway('secret');
 	const listed = await fetch(`${server.url}/v1/quarantine`);
 	const released = await fetch(`${server.url}/v1/quarantine/d1`, {method: 'POST', headers: {authorization: 'Bearer wrong'}});
--- a/src/daemon/quarantine-interface.ts
+++ b/src/daemon/quarantine-interface.ts
@@ -1,5 +1,5 @@
 /**
- * What a gateway answers operators of requests that it holds back.
+ * Serves operators' calls about quarantined requests.
  *
  * @module
  */
@@ -11,18 +11,18 @@
 
 /** Options of {@linkcode addQuarantineRoutes}. */
 export type AddQuarantineRoutesOptions = {
-	/** Empty lets everybody in. */
+	/** Key that operators must send; if empty, no key is required. */
 	readonly operatorKey: string;
 	readonly quarantine: Pick<Quarantine, 'listHeld' | 'release'>;
 	readonly events: EventLog;
 };
 
-const path = '/v1/quarantine';
+const quarantinePath = '/v1/quarantine';
 const bearer = 'Bearer ';
 
 /**
- * Adds the routes: `GET /v1/quarantine` lists what is held back, and
- * `POST /v1/quarantine/DIGEST` lets one go, at all gateways.
+ * Adds the quarantine routes: `GET /v1/quarantine` lists the quarantined
+ * requests, and `POST /v1/quarantine/DIGEST` releases one at all gateways.
  *
  * @example
  * ```ts
@@ -31,15 +31,15 @@
  * });
  * ```
  *
- * @param service The server's routes
- * @param options The key, and what holds requests back
+ * @param service The server to which the routes are added
+ * @param options The operator key and the quarantine
  */
 export function addQuarantineRoutes(service: restana.Service<restana.Protocol.HTTP>, options: AddQuarantineRoutesOptions): void {
 	const {operatorKey, quarantine, events} = options;
 
-	function checkKey(request: IncomingMessage, response: ServerResponse): boolean {
-		const given = request.headers.authorization ?? '';
-		if (operatorKey === '' || (given.startsWith(bearer) && isSameSecret(given.slice(bearer.length), operatorKey))) {
+	function checkOperatorKey(request: IncomingMessage, response: ServerResponse): boolean {
+		const authorization = request.headers.authorization ?? '';
+		if (operatorKey === '' || (authorization.startsWith(bearer) && isSameSecret(authorization.slice(bearer.length), operatorKey))) {
 			return true;
 		}
 
@@ -48,13 +48,13 @@
 		return false;
 	}
 
-	service.get(path, (request, response) => {
-		if (checkKey(request, response)) {
+	service.get(quarantinePath, (request, response) => {
+		if (checkOperatorKey(request, response)) {
 			sendJson(response, {held: quarantine.listHeld()});
 		}
 	});
-	service.post(`${path}/:digest`, (request, response) => {
-		if (!checkKey(request, response)) {
+	service.post(`${quarantinePath}/:digest`, (request, response) => {
+		if (!checkOperatorKey(request, response)) {
 			return;
 		}
 
@@ -62,7 +62,7 @@
 		if (quarantine.release(digest)) {
 			sendJson(response, {released: digest});
 		} else {
-			sendFailure(response, createFailure('unknown-object', `Nothing is known against request "${digest}"`));
+			sendFailure(response, createFailure('unknown-object', `No crashes are recorded for a request with digest "${digest}"`));
 		}
 	});
 }
--- a/src/daemon/relay-daemon.ts
+++ b/src/daemon/relay-daemon.ts
@@ -1,6 +1,6 @@
 /**
- * Wires a relay daemon: the small process beside an upstream that carries
- * calls to the store for gateways that are cut off from it.
+ * Assembles a relay daemon: a small process next to an upstream that relays
+ * calls to the store for gateways that are partitioned from it.
  *
  * @module
  */
@@ -16,14 +16,13 @@
 
 /** Options of {@linkcode startRelayDaemon}. */
 export type StartRelayOptions = {
-	/** The logs that it carries; the one of grants also names the daemons. */
+	/** The logs that it relays; daemons are registered in the grants log. */
 	readonly logs: {readonly deployment: KeyedLog; readonly upstreams: KeyedLog; readonly grants: KeyedLog};
 	readonly events: EventLog;
 	readonly close: () => Promise<void>;
 };
 
-/** Pause before a registration that failed is tried again, in milliseconds. */
-const registerPause = 500;
+const registerRetryDelayMs = 500;
 
 /**
  * Starts a relay daemon.
@@ -33,16 +32,16 @@
  * const daemon = await startRelayDaemon(settings, {logs, events, close});
  * ```
  *
- * @param settings Checked settings
- * @param options The logs it carries
+ * @param settings Validated settings
+ * @param options The logs that it relays, and the event log
  * @returns The running daemon
- * @throws When its address cannot be listened on
+ * @throws {Error} If the daemon cannot listen on its address
  */
 export async function startRelayDaemon(settings: RelaySettings, options: StartRelayOptions): Promise<RunningDaemon> {
 	const {logs, events} = options;
 	const clock = createSystemClock();
-	const stopper = new AbortController();
-	const {signal} = stopper;
+	const abortController = new AbortController();
+	const {signal} = abortController;
 	const {host, port} = settings.listen;
 	const self: HolderIdentity = {
 		role: 'relay', daemon: settings.id, incarnation: createId('i'), address: `${host}:${port}`, failureDomain: settings.failureDomain,
@@ -57,7 +56,7 @@
 		},
 	});
 
-	// The record names no tokens, so it needs no condition: a second copy says the same.
+	// The record grants no tokens, so the append needs no condition: a duplicate has no effect.
 	async function register(hasEnded: boolean): Promise<boolean> {
 		const record: HolderRecord = {
 			...self, version: 0, sequence: 1, granted: {}, hasEnded,
@@ -68,7 +67,7 @@
 
 	async function registerUntilDone(): Promise<void> {
 		while (!signal.aborted && !await register(false)) {
-			await clock.sleep(registerPause, signal);
+			await clock.sleep(registerRetryDelayMs, signal);
 		}
 	}
 
@@ -83,7 +82,7 @@
 		async stop() {
 			events.write('daemonStopping', {running: 0});
 			await register(true);
-			stopper.abort();
+			abortController.abort();
 			await options.close();
 			events.write('daemonStopped');
 		},
--- a/src/daemon/relay-interface.ts
+++ b/src/daemon/relay-interface.ts
@@ -1,6 +1,6 @@
 /**
- * Carries calls to the store for daemons that are cut off from it: the serving
- * side, and a keyed log through another daemon.
+ * Relays calls to the store for daemons that are partitioned from it: the
+ * serving side, and a keyed log that is reached through another daemon.
  *
  * @module
  */
@@ -10,15 +10,15 @@
 } from '../protocol/mod.js';
 import type {FleetClient} from '../transport/mod.js';
 
-/** A relay's answer may take this long beyond the wait asked for, in milliseconds: its own call and the way to it. */
-const relayTimeout = 1200;
+/** Timeout of a call to a relay beyond the requested wait: covers the relay's own call to the store and the network. */
+const relayTimeoutMs = 1200;
 
 /** @internal */
-function buildRecords(state: RelayState, page?: KeyedPage) {
+function buildRelayRecords(state: RelayState, page?: KeyedPage) {
 	return {state, records: page?.records.map(record => ({...record})) ?? [], end: page?.end ?? 0};
 }
 
-const outcomes = {
+const relayOutcomes = {
 	appended: RelayOutcome.APPENDED, behind: RelayOutcome.BEHIND, refused: RelayOutcome.REFUSED, unknown: RelayOutcome.UNKNOWN,
 } as const;
 
@@ -26,59 +26,59 @@
 function buildAppendReply(outcome: AppendOutcome) {
 	switch (outcome.kind) {
 		case 'appended': {
-			return {outcome: outcomes.appended, offset: outcome.offset, detail: ''};
+			return {outcome: relayOutcomes.appended, offset: outcome.offset, detail: ''};
 		}
 
 		case 'behind': {
-			return {outcome: outcomes.behind, offset: outcome.end, detail: ''};
+			return {outcome: relayOutcomes.behind, offset: outcome.end, detail: ''};
 		}
 
 		case 'refused':
 		case 'unknown': {
-			return {outcome: outcomes[outcome.kind], offset: 0, detail: outcome.failure.detail};
+			return {outcome: relayOutcomes[outcome.kind], offset: 0, detail: outcome.failure.detail};
 		}
 	}
 }
 
 /**
- * Creates the interface that carries others' calls over the direct way.
+ * Creates the interface that relays the calls of other daemons over this daemon's direct path.
  *
  * @example
  * ```ts
  * router.service(Relay, createRelayInterface([deployments, upstreams, grants], signal));
  * ```
  *
- * @param logs The logs that may be reached through this daemon
- * @param signal Aborted at the daemon's stop
+ * @param logs The logs that can be reached through this daemon
+ * @param signal Aborted when the daemon stops
  * @returns The implementation of the service
  */
 export function createRelayInterface(logs: readonly KeyedLog[], signal: AbortSignal): ServiceImpl<typeof Relay> {
-	const byName = new Map(logs.map(log => [log.name, log]));
+	const logsByName = new Map(logs.map(log => [log.name, log]));
 	return {
 		async readNewest({log}) {
-			const newest = await byName.get(log)?.readNewest();
-			return newest?.ok ? buildRecords(RelayState.OK, newest.val) : buildRecords(RelayState.AWAY);
+			const newest = await logsByName.get(log)?.readNewest();
+			return newest?.ok ? buildRelayRecords(RelayState.OK, newest.val) : buildRelayRecords(RelayState.AWAY);
 		},
 		async read({log, from, waitMs}) {
-			const page = await byName.get(log)?.read(from, {waitMs, signal});
+			const page = await logsByName.get(log)?.read(from, {waitMs, signal});
 			if (page?.ok) {
-				return buildRecords(RelayState.OK, page.val);
+				return buildRelayRecords(RelayState.OK, page.val);
 			}
 
-			return buildRecords(page?.val.kind === 'gone' ? RelayState.GONE : RelayState.AWAY);
+			return buildRelayRecords(page?.val.kind === 'gone' ? RelayState.GONE : RelayState.AWAY);
 		},
 		async append({log, key, value, at}) {
-			const outcome = await byName.get(log)?.append({key, value}, {expectedEnd: at});
-			return buildAppendReply(outcome ?? {kind: 'refused', failure: createFailure('unknown-object', `This daemon carries no log "${log}"`)});
+			const outcome = await logsByName.get(log)?.append({key, value}, {expectedEnd: at});
+			return buildAppendReply(outcome ?? {kind: 'refused', failure: createFailure('unknown-object', `This daemon does not relay a log named "${log}"`)});
 		},
 	};
 }
 
 /** @internal */
-function readPage(answer: RelayRecords): Result<KeyedPage, Failure> {
-	return answer.state === RelayState.OK
-		? Ok({records: answer.records, end: answer.end})
-		: Err(createFailure('log-unavailable', 'The relay does not reach the store'));
+function readPage(reply: RelayRecords): Result<KeyedPage, Failure> {
+	return reply.state === RelayState.OK
+		? Ok({records: reply.records, end: reply.end})
+		: Err(createFailure('log-unavailable', 'The relay cannot reach the store'));
 }
 
 /** @internal */
@@ -104,41 +104,42 @@
 	}
 }
 
-/** Options of {@linkcode openLogThrough}. */
-export type OpenLogThroughOptions = {readonly fleet: FleetClient; readonly address: string};
+/** Options of {@linkcode openRelayedLog}. */
+export type OpenRelayedLogOptions = {readonly fleet: FleetClient; readonly address: string};
 
 /**
- * Opens a keyed log through another daemon.
+ * Opens a keyed log that is reached through another daemon.
  *
  * @example
  * ```ts
- * const log = openLogThrough('grants', {fleet, address: '10.0.0.7:7340'});
+ * const log = openRelayedLog('grants', {fleet, address: '10.0.0.7:7340'});
  * ```
  *
- * @param name The log's name
- * @param options The other daemon
+ * @param name Name of the log
+ * @param options The address of the relay and the client for calling it
  * @returns The log
  */
-export function openLogThrough(name: string, {fleet, address}: OpenLogThroughOptions): KeyedLog {
-	// A relay that does not answer may be gone, or its connection silent: the next call opens a new one.
-	async function call<Answer>(run: (relay: ReturnType<FleetClient['connect']>['relay']) => Promise<Answer>): Promise<Result<Answer, Failure>> {
+export function openRelayedLog(name: string, {fleet, address}: OpenRelayedLogOptions): KeyedLog {
+	// Abandons the connection to a relay that does not answer, since the relay may have exited or the connection may be
+	// unresponsive; the next call opens a new one.
+	async function call<Answer>(send: (relay: ReturnType<FleetClient['connect']>['relay']) => Promise<Answer>): Promise<Result<Answer, Failure>> {
 		const connection = fleet.connect(address);
 		try {
-			return Ok(await run(connection.relay));
+			return Ok(await send(connection.relay));
 		} catch (error) {
 			connection.abandon();
-			return Err(createFailure('log-unavailable', `The relay at ${address} does not answer: ${(error as Error).message}`));
+			return Err(createFailure('log-unavailable', `The relay at ${address} did not answer: ${(error as Error).message}`));
 		}
 	}
 
 	return {
 		name,
 		async readNewest() {
-			const answer = await call(async relay => relay.readNewest({log: name}, {timeoutMs: relayTimeout}));
+			const answer = await call(async relay => relay.readNewest({log: name}, {timeoutMs: relayTimeoutMs}));
 			return answer.ok ? readPage(answer.val) : answer;
 		},
 		async read(from, {waitMs, signal}) {
-			const answer = await call(async relay => relay.read({log: name, from, waitMs}, {timeoutMs: relayTimeout + waitMs, signal}));
+			const answer = await call(async relay => relay.read({log: name, from, waitMs}, {timeoutMs: relayTimeoutMs + waitMs, signal}));
 			if (answer.err) {
 				return Err({kind: 'away', failure: answer.val});
 			}
@@ -151,7 +152,7 @@
 			return page.ok ? page : Err({kind: 'away', failure: page.val});
 		},
 		async append(record, {expectedEnd}) {
-			const answer = await call(async relay => relay.append({log: name, ...record, at: expectedEnd}, {timeoutMs: relayTimeout}));
+			const answer = await call(async relay => relay.append({log: name, ...record, at: expectedEnd}, {timeoutMs: relayTimeoutMs}));
 			return answer.ok ? readAppendReply(answer.val) : {kind: 'unknown', failure: answer.val};
 		},
 	};
--- a/src/daemon/request-digest.test.ts
+++ b/src/daemon/request-digest.test.ts
@@ -5,7 +5,7 @@
 	host: 'h', method: 'POST', path: '/a/1', customer: 'c', body: new TextEncoder().encode('x'),
 };
 
-test('a repeat has the same digest', () => {
+test('a repeated request has the same digest', () => {
 	expect(computeRequestDigest({...request, body: new TextEncoder().encode('x')})).toBe(computeRequestDigest(request));
 });
 
@@ -16,6 +16,6 @@
 	['query', {path: '/a/1?b'}],
 	['customer', {customer: 'd'}],
 	['body', {body: new TextEncoder().encode('y')}],
-])('another %s is another request', (_part, other) => {
+])('requests that differ in their %s have different digests', (_part, other) => {
 	expect(computeRequestDigest({...request, ...other})).not.toBe(computeRequestDigest(request));
 });
--- a/src/daemon/run-direct-daemon.ts
+++ b/src/daemon/run-gateway-or-relay.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a gateway or relay daemon as a process, from settings that an adapter
+ * Runs a gateway or relay daemon as a process, with settings that an adapter
  * reads.
  *
  * @module
@@ -11,21 +11,21 @@
 import type {RunningDaemon} from './core.js';
 import {startGatewayDaemon} from './gateway-daemon.js';
 import type {GatewayAdapter} from './gateway-state.js';
-import {installFailureLog, installSignals} from './main.js';
+import {installExceptionHandler, installSignalHandlers} from './main.js';
 import {startRelayDaemon} from './relay-daemon.js';
 
 /** Options of {@linkcode runDirectDaemon}. */
-export type RunDirectDaemonOptions = {
-	/** Reads and checks the settings; throws when they are wrong. */
+export type RunGatewayOrRelayOptions = {
+	/** Reads and validates the settings; throws if they are invalid. */
 	readonly readSettings: () => GatewayOrRelaySettings;
 	readonly createAdapter: (settings: GatewayOrRelaySettings) => GatewayAdapter;
 };
 
-/** A daemon that takes changed settings. */
-type Reloadable = {readonly daemon: RunningDaemon; readonly reload: (settings: GatewayOrRelaySettings) => void};
+/** A daemon and a function that applies changed settings to it. */
+type ReloadableDaemon = {readonly daemon: RunningDaemon; readonly reload: (settings: GatewayOrRelaySettings) => void};
 
 /** @internal */
-async function start(settings: GatewayOrRelaySettings, adapter: GatewayAdapter, events: EventLog): Promise<Reloadable> {
+async function startByRole(settings: GatewayOrRelaySettings, adapter: GatewayAdapter, events: EventLog): Promise<ReloadableDaemon> {
 	if (settings.role === 'relay') {
 		const daemon = await startRelayDaemon(settings, {...adapter, events});
 		return {
@@ -48,36 +48,36 @@
 }
 
 /** @internal */
-function readOrRefuse(readSettings: () => GatewayOrRelaySettings): GatewayOrRelaySettings | undefined {
+function readSettingsOrReport(readSettings: () => GatewayOrRelaySettings): GatewayOrRelaySettings | undefined {
 	try {
 		return readSettings();
 	} catch (error) {
-		process.stderr.write(`The settings cannot be used: ${(error as Error).message}\n`);
+		process.stderr.write(`The settings are invalid: ${(error as Error).message}\n`);
 		process.exitCode = failureTable['settings-invalid'].exitCode;
 		return undefined;
 	}
 }
 
 /**
- * Checks settings and says whether they can be used.
+ * Validates the settings and prints the result.
  *
  * @example
  * ```ts
  * checkDirectSettings(() => readSettingsFile('boot.toml'));
  * ```
  *
- * @param readSettings Reads and checks the settings; throws when they are wrong
+ * @param readSettings Reads and validates the settings; throws if they are invalid
  */
 export function checkDirectSettings(readSettings: () => GatewayOrRelaySettings): void {
-	const settings = readOrRefuse(readSettings);
+	const settings = readSettingsOrReport(readSettings);
 	if (settings) {
 		process.stdout.write(`The settings of ${settings.role} "${settings.id}" are valid\n`);
 	}
 }
 
 /**
- * Runs a daemon until a signal stops it. SIGHUP has it read its settings
- * again; a file that is wrong leaves the old ones in force.
+ * Runs a daemon until a signal stops it. On SIGHUP it reloads its settings; if
+ * the new ones are invalid, the old ones stay in force.
  *
  * @example
  * ```ts
@@ -86,16 +86,16 @@
  *
  * @param options The settings and the adapter
  */
-export async function runDirectDaemon(options: RunDirectDaemonOptions): Promise<void> {
-	const settings = readOrRefuse(options.readSettings);
+export async function runDirectDaemon(options: RunGatewayOrRelayOptions): Promise<void> {
+	const settings = readSettingsOrReport(options.readSettings);
 	if (!settings) {
 		return;
 	}
 
 	const events = createLineLog({daemon: settings.id, sink: process.stdout});
-	installFailureLog(events);
-	const {daemon, reload} = await start(settings, options.createAdapter(settings), events);
-	installSignals(daemon, events);
+	installExceptionHandler(events);
+	const {daemon, reload} = await startByRole(settings, options.createAdapter(settings), events);
+	installSignalHandlers(daemon, events);
 	process.on('SIGHUP', () => {
 		try {
 			reload(options.readSettings());
--- a/src/daemon/stop-window.test.ts
+++ b/src/daemon/stop-window.test.ts
@@ -1,45 +1,45 @@
 import {expect, test} from 'vitest';
 import {createStopWindow} from './stop-window.js';
 
-function createWorld() {
-	const world = {now: 1000};
-	const window = createStopWindow({notice: 2500, clock: {now: () => world.now, sleep: async () => undefined}});
-	return {world, window};
+function createFixture() {
+	const fakeClock = {now: 1000};
+	const window = createStopWindow({noticeMs: 2500, clock: {now: () => fakeClock.now, sleep: async () => undefined}});
+	return {fakeClock, window};
 }
 
-test('everything is taken before a stop and in its notice', () => {
-	const {world, window} = createWorld();
+test('all work is accepted before a stop and during its notice period', () => {
+	const {fakeClock, window} = createFixture();
 	expect(window.hasTimeFor(60_000)).toBe(true);
-	expect(window.countLeft()).toBe(Number.POSITIVE_INFINITY);
+	expect(window.computeRemainingMs()).toBe(Number.POSITIVE_INFINITY);
 	window.begin(7300);
-	world.now += 2499;
+	fakeClock.now += 2499;
 	expect(window.hasTimeFor(60_000)).toBe(true);
 });
 
-test('after the notice only what ends before the stop is taken, whatever timers do', () => {
-	const {world, window} = createWorld();
+test('after the notice period only work that ends before the stop is accepted, independent of timers', () => {
+	const {fakeClock, window} = createFixture();
 	window.begin(7300);
-	world.now += 2500;
+	fakeClock.now += 2500;
 	expect(window.hasTimeFor(60_000)).toBe(false);
 	expect(window.hasTimeFor(4800)).toBe(true);
 	expect(window.hasTimeFor(4801)).toBe(false);
-	world.now += 4800;
+	fakeClock.now += 4800;
 	expect(window.hasTimeFor(1)).toBe(false);
 });
 
-test('nothing is taken once a stop has finished early', () => {
-	const {world, window} = createWorld();
+test('no work is accepted after a stop has finished early', () => {
+	const {fakeClock, window} = createFixture();
 	window.begin(7300);
-	world.now += 3000;
+	fakeClock.now += 3000;
 	window.finish();
 	expect(window.hasTimeFor(100)).toBe(false);
 });
 
-test('a stop that has begun is not begun anew', () => {
-	const {world, window} = createWorld();
+test('a second call does not restart a stop', () => {
+	const {fakeClock, window} = createFixture();
 	window.begin(7300);
-	world.now += 1000;
+	fakeClock.now += 1000;
 	window.begin(7300);
-	expect(window.countElapsed()).toBe(1000);
-	expect(window.countLeft()).toBe(6300);
+	expect(window.computeElapsedMs()).toBe(1000);
+	expect(window.computeRemainingMs()).toBe(6300);
 });
--- a/src/daemon/stop-window.ts
+++ b/src/daemon/stop-window.ts
@@ -1,5 +1,5 @@
 /**
- * How far a daemon's stop has come, and which work it can still take on.
+ * Tracks a daemon's graceful stop and decides which work it still accepts.
  *
  * @module
  */
@@ -7,59 +7,60 @@
 
 /** Options of {@linkcode createStopWindow}. */
 export type CreateStopWindowOptions = {
-	/** Milliseconds from the beginning in which everything is taken: those who send do not know of the stop yet. */
-	readonly notice: number;
+	/** Time from the beginning of the stop in which all work is accepted, because senders do not know of the stop yet. */
+	readonly noticeMs: number;
 	readonly clock: Clock;
 };
 
-/** A daemon's stop. */
+/** The period of a daemon's graceful stop. */
 export type StopWindow = ReturnType<typeof createStopWindow>;
 
 /**
- * Creates a stop that has not begun.
+ * Creates a stop window for a stop that has not begun.
  *
- * Work that a stopping daemon takes on and cannot finish is lost to its
- * caller: it shows as an answer that is cut when the process ends. So after
- * the notice only work is taken whose whole time limit passes before that.
- * The clock decides and no timer, since a busy event loop runs timers late.
+ * Work that a stopping daemon accepts and cannot finish is lost to its caller:
+ * the response is aborted when the process ends. After the notice period the
+ * daemon therefore accepts only work whose full timeout ends before the stop
+ * does. This is decided by the clock and not by a timer, because a busy event
+ * loop runs timers late.
  *
  * @example
  * ```ts
- * const window = createStopWindow({notice: 2500, clock});
+ * const window = createStopWindow({noticeMs: 2500, clock});
  * window.begin(7300);
  * window.hasTimeFor(12_000); // true for 2.5 s, then false
  * ```
  *
- * @param options The notice and the clock
- * @returns The stop
+ * @param options The notice period and the clock
+ * @returns The stop window
  */
-export function createStopWindow({notice, clock}: CreateStopWindowOptions) {
-	let span: {readonly startedAt: number; readonly endsAt: number} | undefined;
+export function createStopWindow({noticeMs, clock}: CreateStopWindowOptions) {
+	let period: {readonly startedAt: number; readonly endsAt: number} | undefined;
 
 	return {
-		/** Begins the stop, which ends within so many milliseconds; a second call changes nothing. */
-		begin(within: number): void {
+		/** Begins the stop, which lasts at most the given time; further calls have no effect. */
+		begin(maxDurationMs: number): void {
 			const now = clock.now();
-			span ??= {startedAt: now, endsAt: now + within};
+			period ??= {startedAt: now, endsAt: now + maxDurationMs};
 		},
 
-		/** Ends the stop early: from now on nothing is taken. */
+		/** Ends the stop early: no more work is accepted. */
 		finish(): void {
-			span &&= {...span, endsAt: Math.min(span.endsAt, clock.now())};
+			period &&= {...period, endsAt: Math.min(period.endsAt, clock.now())};
 		},
 
-		hasBegun: (): boolean => span !== undefined,
+		hasBegun: (): boolean => period !== undefined,
 
-		/** Milliseconds since the stop began; undefined before. */
-		countElapsed: (): number | undefined => span && clock.now() - span.startedAt,
+		/** Returns the time since the stop began; undefined before that. */
+		computeElapsedMs: (): number | undefined => period && clock.now() - period.startedAt,
 
-		/** Milliseconds until what still runs is cut; without bound before the stop. */
-		countLeft: (): number => span ? span.endsAt - clock.now() : Number.POSITIVE_INFINITY,
+		/** Returns the time until running work is aborted; infinite before the stop. */
+		computeRemainingMs: (): number => period ? period.endsAt - clock.now() : Number.POSITIVE_INFINITY,
 
-		/** True if work may be begun that takes so many milliseconds at most. */
-		hasTimeFor(limit: number): boolean {
+		/** Returns true if work with the given timeout may be started. */
+		hasTimeFor(timeoutMs: number): boolean {
 			const now = clock.now();
-			return !span || now - span.startedAt < notice || limit <= span.endsAt - now;
+			return !period || now - period.startedAt < noticeMs || timeoutMs <= period.endsAt - now;
 		},
 	};
 }
--- a/src/daemon/upstream-watch.ts
+++ b/src/daemon/upstream-watch.ts
@@ -1,5 +1,5 @@
 /**
- * Watches the upstream behind an upstream daemon, and tells its load to peers.
+ * Monitors the upstream of an upstream daemon, and provides its load for peers.
  *
  * @module
  */
@@ -7,56 +7,56 @@
 import type {TellLoad} from './peer-interface.js';
 
 /** Options of {@linkcode createUpstreamWatch}. */
-export type CreateUpstreamWatchOptions = {
+export type CreateUpstreamMonitorOptions = {
 	readonly clock: Clock;
 	readonly capacity: number;
 	readonly countRunning: () => number;
 	readonly countQueued: () => number;
-	/** The engine's own report; undefined for plain services and engines that do not answer. */
+	/** Fetches the load that the engine reports; undefined for plain services and for engines that do not answer. */
 	readonly fetchLoad: () => Promise<EngineLoad | undefined>;
-	/** Whether a plain service answers. */
+	/** Checks whether a plain service answers. */
 	readonly isAlive: () => Promise<boolean>;
 };
 
-const pause = 500;
-const missesAllowed = 3;
+const pollIntervalMs = 500;
+const maxMisses = 3;
 
 /**
- * Creates the watch; `run` is its task.
+ * Creates the monitor; `run` polls the upstream until the signal is aborted.
  *
  * @example
  * ```ts
- * void watch.run(signal);
- * watch.tellLoad().running;
+ * void monitor.run(signal);
+ * monitor.tellLoad().running;
  * ```
  *
- * @param options The daemon's own counts and the ways to its upstream
- * @returns The watch
+ * @param options The daemon's own counts and the checks of its upstream
+ * @returns The monitor
  */
-export function createUpstreamWatch(options: CreateUpstreamWatchOptions) {
+export function createUpstreamWatch(options: CreateUpstreamMonitorOptions) {
 	const {clock, capacity} = options;
 	let misses = 0;
 	let load: EngineLoad | undefined;
-	let hasLoad = false;
+	let hasReportedLoad = false;
 
-	const tellLoad: TellLoad = () => ({
-		// This daemon is the only way to its upstream, so its own count is fresh where the report lags.
-		running: Math.max(options.countRunning(), hasLoad ? 0 : load?.running ?? 0),
+	const getLoad: TellLoad = () => ({
+		// All requests to the upstream pass through this daemon, so its own count is newer than the engine's report.
+		running: Math.max(options.countRunning(), hasReportedLoad ? 0 : load?.running ?? 0),
 		queued: options.countQueued(),
 		capacity,
 		ageMs: Math.round(load?.ageMs ?? 0),
-		upstreamAlive: misses < missesAllowed,
+		upstreamAlive: misses < maxMisses,
 	});
 
 	return {
-		tellLoad,
+		tellLoad: getLoad,
 		async run(signal: AbortSignal): Promise<void> {
 			while (!signal.aborted) {
 				load = await options.fetchLoad();
-				hasLoad ||= load !== undefined;
-				const isAlive = hasLoad ? load !== undefined : await options.isAlive();
+				hasReportedLoad ||= load !== undefined;
+				const isAlive = hasReportedLoad ? load !== undefined : await options.isAlive();
 				misses = isAlive ? 0 : misses + 1;
-				await clock.sleep(pause, signal);
+				await clock.sleep(pollIntervalMs, signal);
 			}
 		},
 	};
