--- a/stand-ins/host-list.ts
+++ b/stand-ins/host-list.ts
@@ -1,21 +1,21 @@
 /**
- * Stand-in of the platform's host list; what is set becomes visible late.
+ * Stand-in for the platform's host list. Changes become visible after a delay.
  *
  * @module
  */
 import {readDocument, serveStandIn} from './serve.js';
 
-let lag = 1000;
+let lagMs = 1000;
 let hosts: unknown[] = [];
 
 await serveStandIn('host-list', async (request, _response, url) => {
 	if (url.pathname === '/control') {
 		const body = await readDocument(request) as {hosts: unknown[]; lag?: number};
-		lag = body.lag ?? lag;
+		lagMs = body.lag ?? lagMs;
 		setTimeout(() => {
 			hosts = body.hosts;
-		}, lag);
-		return {lag};
+		}, lagMs);
+		return {lag: lagMs};
 	}
 
 	return {hosts};
--- a/stand-ins/log-service.ts
+++ b/stand-ins/log-service.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in of the platform's log service: append, read from an offset, long
- * poll, limited retention; it can be down, slow, or lose answers after the
- * effect.
+ * Stand-in for the platform's log service: appends, reads from an offset, long
+ * polling and limited retention. It can be unavailable or slow, or lose the
+ * response to an append that has taken effect.
  *
  * @module
  */
@@ -9,30 +9,30 @@
 import {setTimeout as wait} from 'node:timers/promises';
 import {readDocument, sendDocument, serveStandIn} from './serve.js';
 
-type Stored = {offset: number; at: number; data: unknown};
+type StoredRecord = {offset: number; at: number; data: unknown};
 
 const control = {
 	isDown: false,
-	/** Added to each answer, in milliseconds. */
+	/** Delay of each response, in milliseconds. */
 	delay: 0,
-	/** Appends whose answers will be lost. */
+	/** Number of appends whose response will be lost. */
 	loseAnswers: 0,
-	/** Only answers to records of this kind are lost; empty for all. */
+	/** Kind of records whose response may be lost; empty for any kind. */
 	loseKind: '',
-	/** Records kept; 0 for all. */
+	/** Number of records retained; 0 for all. */
 	retention: 0,
 };
 const counts = {
 	appends: 0, records: 0, bytes: 0, reads: 0,
 };
-const records: Stored[] = [];
+const records: StoredRecord[] = [];
 const waiters = new Set<() => void>();
-let next = 0;
+let nextOffset = 0;
 
 function appendRecords(items: readonly unknown[]): void {
 	for (const data of items) {
-		records.push({offset: next, at: Date.now(), data});
-		next += 1;
+		records.push({offset: nextOffset, at: Date.now(), data});
+		nextOffset += 1;
 	}
 
 	if (control.retention > 0 && records.length > control.retention) {
@@ -44,7 +44,7 @@
 	}
 }
 
-async function waitForRecord(span: number): Promise<void> {
+async function waitForRecord(timeoutMs: number): Promise<void> {
 	const timer = new AbortController();
 	await new Promise<void>(resolve => {
 		const wake = () => {
@@ -54,13 +54,13 @@
 		};
 
 		waiters.add(wake);
-		setTimeout(wake, span).unref();
+		setTimeout(wake, timeoutMs).unref();
 	});
 }
 
-function losesAnswer(items: readonly unknown[]): boolean {
-	const isMeant = control.loseKind === '' || items.some(item => (item as {kind: string}).kind === control.loseKind);
-	if (control.loseAnswers === 0 || !isMeant) {
+function shouldLoseAnswer(items: readonly unknown[]): boolean {
+	const isMatching = control.loseKind === '' || items.some(item => (item as {kind: string}).kind === control.loseKind);
+	if (control.loseAnswers === 0 || !isMatching) {
 		return false;
 	}
 
@@ -74,18 +74,18 @@
 	counts.records += items.length;
 	counts.bytes += JSON.stringify(items).length;
 	appendRecords(items);
-	if (losesAnswer(items)) {
+	if (shouldLoseAnswer(items)) {
 		response.destroy();
 		return undefined;
 	}
 
-	return {next};
+	return {next: nextOffset};
 }
 
 async function read(response: ServerResponse, url: URL): Promise<unknown> {
 	const from = Number(url.searchParams.get('from') ?? 0);
 	counts.reads += 1;
-	if (from >= next) {
+	if (from >= nextOffset) {
 		await waitForRecord(Number(url.searchParams.get('wait') ?? 0));
 	}
 
@@ -94,14 +94,14 @@
 		return undefined;
 	}
 
-	const first = records[0]?.offset ?? next;
+	const first = records[0]?.offset ?? nextOffset;
 	if (from < first) {
-		sendDocument(response, 410, {records: [], first, next});
+		sendDocument(response, 410, {records: [], first, next: nextOffset});
 		return undefined;
 	}
 
 	const limit = Number(url.searchParams.get('limit') ?? 1000);
-	return {records: records.slice(from - first, from - first + limit), first, next};
+	return {records: records.slice(from - first, from - first + limit), first, next: nextOffset};
 }
 
 await serveStandIn('log-service', async (request, response, url) => {
--- a/stand-ins/model-engine.ts
+++ b/stand-ins/model-engine.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in of a model engine: streams tokens at a set pace, batches, keeps a
- * prefix cache, resumes and cancels streams, reports load late, takes orders,
- * and can misbehave.
+ * Stand-in for a model engine: generates tokens at a configured rate that drops
+ * under load, has a prefix cache, resumes and cancels streams, reports its load
+ * with a delay, accepts orders, and can simulate faults.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 type Run = {
 	readonly id: string;
 	readonly events: string[];
-	isEnded: boolean;
+	hasEnded: boolean;
 	isCancelled: boolean;
 	readonly listeners: Set<() => void>;
 };
@@ -24,47 +24,48 @@
 };
 
 const control = {
-	/** Milliseconds between two tokens. */
+	/** Interval between tokens, in milliseconds. */
 	tokenPause: 2,
-	/** Milliseconds before the first token when the prompt's beginning is not cached. */
+	/** Time before the first token if the prompt prefix is not cached, in milliseconds. */
 	prefill: 10,
-	/** Requests that run at full pace together. */
+	/** Number of concurrent requests above which token generation slows down. */
 	capacity: 64,
-	/** Load reports are this old, in milliseconds. */
+	/** Age of load reports, in milliseconds. */
 	lag: 1000,
-	/** Streams open now fall silent for good; new connections work. */
+	/** Stops sending on all open streams permanently; new connections work. */
 	silenceOpen: false,
-	/** Tokens generated past the limit. */
+	/** Number of tokens generated beyond the limit. */
 	overrun: 0,
+	/** Refuses orders with a lower fence than an earlier order. */
 	checksFencing: false,
 };
 const counts = {
 	runs: 0, tokens: 0, cacheHits: 0, cancelled: 0, resumed: 0, repeats: 0,
 };
 const runs = new Map<string, Run>();
-const seen = new Set<string>();
+const seenIds = new Set<string>();
 const cache = new Map<string, true>();
-const cacheLimit = 32;
-const prefixLength = 256;
+const maxCachedPrefixes = 32;
+const prefixChars = 256;
 const reports: Array<{at: number; running: number; queued: number}> = [];
 const orders: Array<{action: string; value: string; fence: number}> = [];
 let running = 0;
-let silenced = new Set<ServerResponse>();
-const open = new Set<ServerResponse>();
+let unresponsiveResponses = new Set<ServerResponse>();
+const openResponses = new Set<ServerResponse>();
 
 function countPromptTokens(body: Body): number {
 	return body.messages.reduce((sum, message) => sum + Math.ceil(String(message.content).length / 4) + 4, 3);
 }
 
-function touchCache(prefix: string): boolean {
+function updateCache(prefix: string): boolean {
 	const isHit = cache.delete(prefix);
 	cache.set(prefix, true);
-	for (const old of cache.keys()) {
-		if (cache.size <= cacheLimit) {
+	for (const oldestPrefix of cache.keys()) {
+		if (cache.size <= maxCachedPrefixes) {
 			break;
 		}
 
-		cache.delete(old);
+		cache.delete(oldestPrefix);
 	}
 
 	return isHit;
@@ -83,35 +84,35 @@
 	}
 }
 
-// The answer is a function of the request, so that a proof can tell whose answer arrived.
-function nameToken(run: Run, index: number): string {
+// Tokens contain the request id, so that a proof can check that a caller received the answer to its own request.
+function formatToken(run: Run, index: number): string {
 	return `${run.id.slice(0, 6)}-${index} `;
 }
 
 async function generate(run: Run, body: Body): Promise<void> {
-	const prompt = countPromptTokens(body);
-	const wanted = Number(/answer (\d+)/.exec(String(body.messages.at(-1)?.content))?.[1] ?? 20);
-	const limit = (body.max_tokens ?? wanted) + control.overrun;
-	const length = control.overrun > 0 ? limit : Math.min(wanted, limit);
+	const promptTokens = countPromptTokens(body);
+	const requestedTokens = Number(/answer (\d+)/.exec(String(body.messages.at(-1)?.content))?.[1] ?? 20);
+	const maxTokens = (body.max_tokens ?? requestedTokens) + control.overrun;
+	const outputTokens = control.overrun > 0 ? maxTokens : Math.min(requestedTokens, maxTokens);
 	counts.runs += 1;
 	running += 1;
-	const isHit = touchCache(JSON.stringify(body.messages).slice(0, prefixLength));
+	const isHit = updateCache(JSON.stringify(body.messages).slice(0, prefixChars));
 	counts.cacheHits += isHit ? 1 : 0;
 	await wait(isHit ? control.prefill / 4 : control.prefill);
 	/* eslint-disable @typescript-eslint/naming-convention */
-	for (let index = 0; index < length && !run.isCancelled; index++) {
+	for (let index = 0; index < outputTokens && !run.isCancelled; index++) {
 		counts.tokens += 1;
-		pushEvent(run, formatEvent(run, body, {index: 0, delta: {content: nameToken(run, index)}, finish_reason: null}, {
-			prompt_tokens: prompt, completion_tokens: index + 1, total_tokens: prompt + index + 1,
+		pushEvent(run, formatEvent(run, body, {index: 0, delta: {content: formatToken(run, index)}, finish_reason: null}, {
+			prompt_tokens: promptTokens, completion_tokens: index + 1, total_tokens: promptTokens + index + 1,
 		}));
 		await wait(control.tokenPause * Math.max(1, running / control.capacity));
 	}
 
-	pushEvent(run, formatEvent(run, body, {index: 0, delta: {}, finish_reason: length < wanted ? 'length' : 'stop'}));
-	pushEvent(run, formatEvent(run, body, undefined, {prompt_tokens: prompt, completion_tokens: length, total_tokens: prompt + length}));
+	pushEvent(run, formatEvent(run, body, {index: 0, delta: {}, finish_reason: outputTokens < requestedTokens ? 'length' : 'stop'}));
+	pushEvent(run, formatEvent(run, body, undefined, {prompt_tokens: promptTokens, completion_tokens: outputTokens, total_tokens: promptTokens + outputTokens}));
 	/* eslint-enable @typescript-eslint/naming-convention */
 	pushEvent(run, '[DONE]');
-	run.isEnded = true;
+	run.hasEnded = true;
 	running -= 1;
 }
 
@@ -128,9 +129,9 @@
 
 async function sendEvents(run: Run, response: ServerResponse, from: number): Promise<void> {
 	response.writeHead(200, {'content-type': 'text/event-stream'});
-	open.add(response);
+	openResponses.add(response);
 	response.on('close', () => {
-		open.delete(response);
+		openResponses.delete(response);
 	});
 	for (let index = from; !response.destroyed; index++) {
 		while (index >= run.events.length) {
@@ -138,7 +139,7 @@
 		}
 
 		const data = run.events[index]!;
-		if (!silenced.has(response)) {
+		if (!unresponsiveResponses.has(response)) {
 			response.write(`id: ${index}\ndata: ${data}\n\n`);
 			if (data === '[DONE]') {
 				response.end();
@@ -150,38 +151,38 @@
 
 async function complete(request: IncomingMessage, response: ServerResponse): Promise<void> {
 	const id = String(request.headers['x-request-id'] ?? `direct-${counts.runs}`);
-	const last = request.headers['last-event-id'];
+	const lastEventId = request.headers['last-event-id'];
 	const body = await readDocument(request) as Body;
-	const known = runs.get(id);
-	if (last !== undefined) {
-		if (!known) {
+	const existingRun = runs.get(id);
+	if (lastEventId !== undefined) {
+		if (!existingRun) {
 			sendDocument(response, 404, {error: 'unknown request'});
 			return;
 		}
 
 		counts.resumed += 1;
-		await sendEvents(known, response, Number(last) + 1);
+		await sendEvents(existingRun, response, Number(lastEventId) + 1);
 		return;
 	}
 
-	if (known && !known.isEnded) {
-		await sendEvents(known, response, 0);
+	if (existingRun && !existingRun.hasEnded) {
+		await sendEvents(existingRun, response, 0);
 		return;
 	}
 
-	counts.repeats += seen.has(id) ? 1 : 0;
-	seen.add(id);
+	counts.repeats += seenIds.has(id) ? 1 : 0;
+	seenIds.add(id);
 	const run: Run = {
-		id, events: [], isEnded: false, isCancelled: false, listeners: new Set(),
+		id, events: [], hasEnded: false, isCancelled: false, listeners: new Set(),
 	};
 	runs.set(id, run);
 	void generate(run, body);
 	await sendEvents(run, response, 0);
 }
 
-function takeOrder(order: {action: string; value: string; fence: number}): boolean {
-	const highest = Math.max(-1, ...orders.map(known => known.fence));
-	if (control.checksFencing && order.fence < highest) {
+function acceptOrder(order: {action: string; value: string; fence: number}): boolean {
+	const highestFence = Math.max(-1, ...orders.map(earlier => earlier.fence));
+	if (control.checksFencing && order.fence < highestFence) {
 		return false;
 	}
 
@@ -191,8 +192,8 @@
 
 function readLoad() {
 	const now = Date.now();
-	const old = reports.findLast(report => report.at <= now - control.lag) ?? reports[0];
-	return {running: old?.running ?? 0, queued: old?.queued ?? 0, ageMs: old ? now - old.at : 0};
+	const delayedReport = reports.findLast(report => report.at <= now - control.lag) ?? reports[0];
+	return {running: delayedReport?.running ?? 0, queued: delayedReport?.queued ?? 0, ageMs: delayedReport ? now - delayedReport.at : 0};
 }
 
 setInterval(() => {
@@ -205,7 +206,7 @@
 		case '/control': {
 			Object.assign(control, await readDocument(request));
 			if (control.silenceOpen) {
-				silenced = new Set([...silenced, ...open]);
+				unresponsiveResponses = new Set([...unresponsiveResponses, ...openResponses]);
 				control.silenceOpen = false;
 			}
 
@@ -225,8 +226,8 @@
 				return {orders};
 			}
 
-			const isTaken = takeOrder(await readDocument(request) as {action: string; value: string; fence: number});
-			sendDocument(response, isTaken ? 200 : 409, {isTaken});
+			const isAccepted = acceptOrder(await readDocument(request) as {action: string; value: string; fence: number});
+			sendDocument(response, isAccepted ? 200 : 409, {isTaken: isAccepted});
 			return undefined;
 		}
 
@@ -238,7 +239,7 @@
 		default: {
 			const id = /^\/v1\/requests\/(.+)\/cancel$/.exec(url.pathname)?.[1] ?? '';
 			const run = runs.get(id);
-			if (run && !run.isEnded) {
+			if (run && !run.hasEnded) {
 				run.isCancelled = true;
 				counts.cancelled += 1;
 			}
--- a/stand-ins/plain-service.ts
+++ b/stand-ins/plain-service.ts
@@ -1,6 +1,7 @@
 /**
- * Stand-in of a plain service: bookings that may not be repeated. It cannot
- * deduplicate, and records every execution, so that a proof can count doubles.
+ * Stand-in for a plain service that executes bookings, which must not be
+ * repeated. It does not deduplicate and records every execution, so that a proof
+ * can count duplicates.
  *
  * @module
  */
@@ -8,9 +9,9 @@
 import {readDocument, serveStandIn} from './serve.js';
 
 const control = {
-	/** Milliseconds that a call takes. */
+	/** Duration of a call, in milliseconds. */
 	duration: 5,
-	/** Calls whose answers will be lost after the effect. */
+	/** Number of calls whose response will be lost after the execution. */
 	loseAnswers: 0,
 };
 const executions: Array<{service: string; booking: string; at: number}> = [];
--- a/stand-ins/serve.ts
+++ b/stand-ins/serve.ts
@@ -1,6 +1,6 @@
 /**
- * What all stand-ins share: an HTTP server on a port that the system chooses,
- * a ready line, and JSON bodies.
+ * Shared code of the stand-ins: an HTTP server on a port assigned by the
+ * operating system, a ready line on standard output, and JSON bodies.
  *
  * @module
  */
@@ -11,19 +11,19 @@
 import type {AddressInfo} from 'node:net';
 import process from 'node:process';
 
-/** Answers one request; returns a document to send, or undefined when it has answered itself. */
+/** Handles a request. Returns a document to send, or undefined if the handler has responded itself. */
 export type StandInHandler = (request: IncomingMessage, response: ServerResponse, url: URL) => Promise<unknown>;
 
 /**
- * Starts a stand-in and prints its ready line.
+ * Starts the server of a stand-in and prints the ready line.
  *
  * @example
  * ```ts
  * await serveStandIn('host-list', async () => ({hosts: []}));
  * ```
  *
- * @param name The stand-in's name
- * @param handler Answers requests
+ * @param name Name of the stand-in in the ready line
+ * @param handler Handles each request; an error is sent with status 500
  */
 export async function serveStandIn(name: string, handler: StandInHandler): Promise<void> {
 	const server = createServer(async (request, response) => {
@@ -51,16 +51,16 @@
 }
 
 /**
- * Sends a JSON document.
+ * Sends a JSON document and ends the response.
  *
  * @example
  * ```ts
  * sendDocument(response, 404, {error: 'unknown'});
  * ```
  *
- * @param response The answer
- * @param status HTTP status
- * @param document What to send
+ * @param response The response to send
+ * @param status HTTP status code
+ * @param document Document to serialise as JSON
  */
 export function sendDocument(response: ServerResponse, status: number, document: unknown): void {
 	if (!response.headersSent) {
@@ -79,7 +79,7 @@
  * ```
  *
  * @param request The request
- * @returns The document; an empty object for an empty body
+ * @returns The parsed document; an empty object if the body is empty
  */
 export async function readDocument(request: IncomingMessage): Promise<Record<string, unknown>> {
 	const chunks: Uint8Array[] = [];
