--- a/tools/demo/main.ts
+++ b/tools/demo/main.ts
@@ -1,6 +1,7 @@
 /**
- * The demo: a fleet of processes before stand-ins, two customers, one budget
- * spent to its end, and a table whose sums must agree.
+ * The demo: runs a fleet of processes with stand-in upstreams, sends requests of
+ * two customers, more than the smaller budget covers, and checks that the totals
+ * agree.
  *
  * @module
  */
@@ -20,33 +21,33 @@
 	},
 ];
 
-type Tally = {answers: CallerAnswer[]; bookings: CallerAnswer[]};
+type CustomerResponses = {chats: CallerAnswer[]; bookings: CallerAnswer[]};
 type Row = Record<string, string | number>;
 
 const bookingCost = 50;
-const rounds = 60;
-const bookingsEach = 12;
+const roundCount = 60;
+const bookingsPerCustomer = 12;
 
-async function callAll(fleet: TestFleet): Promise<Map<string, Tally>> {
-	const tallies = new Map<string, Tally>();
+async function sendRequests(fleet: TestFleet): Promise<Map<string, CustomerResponses>> {
+	const responsesByCustomer = new Map<string, CustomerResponses>();
 	await Promise.all(customers.map(async customer => {
-		const tally: Tally = {answers: [], bookings: []};
-		tallies.set(customer.name, tally);
+		const responses: CustomerResponses = {chats: [], bookings: []};
+		responsesByCustomer.set(customer.name, responses);
 		const pickEntry = (index: number) => fleet.entries[index % fleet.entries.length]!.process.ready.callers;
-		for (let round = 0; round < rounds; round++) {
+		for (let round = 0; round < roundCount; round++) {
 			const batch = [0, 1, 2].map(async index => askChat(pickEntry(round + index), {
 				key: customer.key, content: `Question ${round} of ${customer.name}: answer 20`, maxTokens: 40, stream: index > 0,
 			}));
-			tally.answers.push(...await Promise.all(batch));
-			if (round < bookingsEach) {
+			responses.chats.push(...await Promise.all(batch));
+			if (round < bookingsPerCustomer) {
 				const booking = `${customer.name}-${round}`;
-				// The second call is the caller's retry through the other entry; it must not book again.
-				tally.bookings.push(await bookSlot(pickEntry(round), {key: customer.key, booking, idempotencyKey: booking}));
+				// The second request is a retry through the other entry daemon; it must not book again.
+				responses.bookings.push(await bookSlot(pickEntry(round), {key: customer.key, booking, idempotencyKey: booking}));
 				await bookSlot(pickEntry(round + 1), {key: customer.key, booking, idempotencyKey: booking});
 			}
 		}
 	}));
-	return tallies;
+	return responsesByCustomer;
 }
 
 async function countExecutions(fleet: TestFleet): Promise<Map<string, number>> {
@@ -76,70 +77,71 @@
 	}
 }
 
-// Streamed answers do not tell the caller their cost, so a bill is checked against one token for each whole answer.
-function countWhole(answers: readonly CallerAnswer[]): number {
-	return answers.filter(answer => answer.isWhole).length;
+// A streamed response does not contain its cost, so the check of billed tokens assumes at least one token for each
+// complete response.
+function countComplete(responses: readonly CallerAnswer[]): number {
+	return responses.filter(response => response.isWhole).length;
 }
 
-async function buildRows(fleet: TestFleet, tallies: Map<string, Tally>): Promise<{rows: Row[]; faults: string[]}> {
+async function buildReport(fleet: TestFleet, responsesByCustomer: Map<string, CustomerResponses>): Promise<{rows: Row[]; faults: string[]}> {
 	const executions = await countExecutions(fleet);
 	const rows: Row[] = [];
 	const faults: string[] = [];
 	for (const customer of customers) {
-		const tally = tallies.get(customer.name)!;
+		const responses = responsesByCustomer.get(customer.name)!;
 		const budget = await fleet.findBudget(`${customer.name}-budget`);
-		const all = [...tally.answers, ...tally.bookings];
-		const served = all.filter(answer => answer.isWhole);
-		const refused = all.filter(answer => answer.status === 429);
-		const mine = [...executions].filter(([booking]) => booking.startsWith(customer.name));
-		const booked = countWhole(tally.bookings);
-		const executed = mine.reduce((sum, [, count]) => sum + count, 0);
-		const spans = tally.answers.filter(answer => answer.isWhole).map(answer => answer.firstMs);
+		const all = [...responses.chats, ...responses.bookings];
+		const served = all.filter(response => response.isWhole);
+		const refused = all.filter(response => response.status === 429);
+		const customerExecutions = [...executions].filter(([booking]) => booking.startsWith(customer.name));
+		const booked = countComplete(responses.bookings);
+		const executed = customerExecutions.reduce((sum, [, count]) => sum + count, 0);
+		const firstTokenTimesMs = responses.chats.filter(response => response.isWhole).map(response => response.firstMs);
 		rows.push({
 			customer: customer.name, served: served.length, refused: refused.length, spent: budget.billed, bought: budget.bought,
 			bookings: booked, executions: executed,
-			firstP50: roundTo(pickPercentile(spans, 50), 0),
-			firstP99: roundTo(pickPercentile(spans, 99), 0),
+			firstP50: roundTo(pickPercentile(firstTokenTimesMs, 50), 0),
+			firstP99: roundTo(pickPercentile(firstTokenTimesMs, 99), 0),
 		});
-		const expectations: Array<[boolean, string]> = [
+		const checks: Array<[boolean, string]> = [
 			[budget.billed <= budget.bought, 'spent more than was bought'],
-			[served.length + refused.length === all.length, 'an answer was neither whole nor refused'],
-			[executed === booked && mine.every(([, count]) => count === 1), 'bookings and executions differ'],
-			[refused.every(answer => answer.retryAfter !== undefined && answer.problem?.ran === 'no'), 'a refusal lacks Retry-After or ran'],
-			[budget.billed >= (booked * bookingCost) + countWhole(tally.answers), 'an answer was not billed'],
+			[served.length + refused.length === all.length, 'a response was neither complete nor refused'],
+			[executed === booked && customerExecutions.every(([, count]) => count === 1), 'bookings and executions differ'],
+			[refused.every(response => response.retryAfter !== undefined && response.problem?.ran === 'no'), 'a refusal lacks Retry-After or "ran": "no"'],
+			[budget.billed >= (booked * bookingCost) + countComplete(responses.chats), 'a complete response was not billed'],
 		];
-		faults.push(...expectations.filter(([holds]) => !holds).map(([, fault]) => `${customer.name}: ${fault}`));
+		faults.push(...checks.filter(([isTrue]) => !isTrue).map(([, fault]) => `${customer.name}: ${fault}`));
 	}
 
-	const [, small] = rows;
-	if (small?.refused === 0) {
-		faults.push('the small budget was not spent to its end');
+	const [, smallBudgetRow] = rows;
+	if (smallBudgetRow?.refused === 0) {
+		faults.push('no request was refused for the smaller budget');
 	}
 
 	return {rows, faults};
 }
 
-async function runDemo(isStaying: boolean): Promise<void> {
+async function runDemo(shouldKeepRunning: boolean): Promise<void> {
 	const fleet = await startFleet({entries: 2, engines: 2, bookings: 2});
-	const stopped = new Promise<void>(resolve => {
+	const stopRequested = new Promise<void>(resolve => {
 		process.once('SIGINT', resolve);
 		process.once('SIGTERM', resolve);
 	});
 	let isInterrupted = false;
-	void stopped.then(() => { // eslint-disable-line promise/prefer-await-to-then
+	void stopRequested.then(() => { // eslint-disable-line promise/prefer-await-to-then
 		isInterrupted = true;
 	});
 	try {
 		await fleet.configure(customers);
-		const tallies = await Promise.race([callAll(fleet), stopped]);
-		if (!tallies) {
+		const responsesByCustomer = await Promise.race([sendRequests(fleet), stopRequested]);
+		if (!responsesByCustomer) {
 			process.stdout.write('Interrupted.\n');
 			process.exitCode = 130;
 			return;
 		}
 
 		await waitForReceipts(fleet);
-		const {rows, faults} = await buildRows(fleet, tallies);
+		const {rows, faults} = await buildReport(fleet, responsesByCustomer);
 		console.table(rows);
 		for (const fault of faults) {
 			process.stdout.write(`FAULT ${fault}\n`);
@@ -147,7 +149,7 @@
 
 		process.stdout.write(faults.length === 0 ? 'The sums agree.\n' : 'The sums do not agree.\n');
 		process.exitCode = faults.length === 0 ? 0 : 1;
-		if (isStaying && !isInterrupted) {
+		if (shouldKeepRunning && !isInterrupted) {
 			process.stdout.write(`${JSON.stringify({
 				entries: fleet.entries.map(entry => entry.process.ready.callers),
 				operators: fleet.entries.map(entry => entry.process.ready.operators),
@@ -156,12 +158,12 @@
 				models: ['assistant'],
 				services: ['bookings'],
 			})}\n`);
-			await stopped;
+			await stopRequested;
 		}
 	} finally {
 		await fleet.stop();
 	}
 }
 
-const playDemo = process.argv.includes('--platform') ? runPlatformDemo : async () => runDemo(process.argv.includes('--stay'));
-await playDemo();
+const runSelectedDemo = process.argv.includes('--platform') ? runPlatformDemo : async () => runDemo(process.argv.includes('--stay'));
+await runSelectedDemo();
--- a/tools/measure/budgets.ts
+++ b/tools/measure/budgets.ts
@@ -1,12 +1,13 @@
 /**
- * Grant policies against an oracle, on the same calls and seed.
+ * Compares grant policies with an oracle. In each scenario, all of them get the
+ * same requests, generated from a fixed seed.
  *
  * @module
  */
 import {
 	AheadGrantPolicy, LogFirstGrantPolicy, SplitOnceGrantPolicy, type GrantPolicy,
 } from '../../src/coordination/mod.js';
-import {createBudgetWorld, type BudgetWorld, type MeasuredCall} from './budget-world.js';
+import {createBudgetFixture, type BudgetFixture, type SimulatedRequest} from './budget-fixture.js';
 import {createRandom} from './random.js';
 import {roundTo} from './report.js';
 import {createVirtualTime} from './virtual-clock.js';
@@ -15,94 +16,94 @@
 
 type Scenario = {
 	readonly name: string;
-	/** Milliseconds. */
-	readonly span: number;
-	/** Calls a second at an instant, as a share of the span. */
+	readonly durationMs: number;
+	/** Requests per second at a share of the duration. */
 	readonly rate: (share: number) => number;
 	/** Tokens bought. */
 	readonly tokens: number;
 	readonly weighs: 'refusals' | 'overspend';
-	/** Entry that a call arrives at; -1 for any that is alive. */
-	readonly place?: (share: number) => number;
-	/** What happens, by share of the span. */
-	readonly faults: ReadonlyArray<{readonly at: number; readonly act: (world: BudgetWorld) => void}>;
+	/** Index of the entry daemon that receives a request; -1 for any that runs. */
+	readonly pickEntry?: (share: number) => number;
+	/** Changes of the active faults; `atShare` is their time as a share of the duration. */
+	readonly faults: ReadonlyArray<{readonly atShare: number; readonly apply: (fixture: BudgetFixture) => void}>;
 };
 
-type Arrival = MeasuredCall & {readonly at: number; readonly entry: number; readonly share: number};
+type Arrival = SimulatedRequest & {readonly atMs: number; readonly entry: number; readonly share: number};
 
-type Tally = {served: number; spent: number; falseRefusals: number; locked: number; appends: number; bytes: number; arrivals: number};
+type Tally = {served: number; spent: number; falseRefusals: number; lockedTokenSeconds: number; appends: number; bytes: number; arrivals: number};
 
 const entryCount = 4;
 const seed = 20_261_202;
-const settleSpan = 15_000;
-const ample = 100_000_000;
+/** Simulated time after the last arrival, in which running requests end. */
+const settleDurationMs = 15_000;
+const ampleTokens = 100_000_000;
 
 const scenarios: readonly Scenario[] = [
 	{
-		name: 'calm', span: 60_000, rate: () => 8, tokens: ample, weighs: 'refusals', faults: [],
+		name: 'calm', durationMs: 60_000, rate: () => 8, tokens: ampleTokens, weighs: 'refusals', faults: [],
 	},
 	{
-		name: 'cut-off', span: 90_000, rate: () => 8, tokens: 400_000, weighs: 'refusals',
+		name: 'cut-off', durationMs: 90_000, rate: () => 8, tokens: 400_000, weighs: 'refusals',
 		faults: [
-			{at: 0.1, act: world => world.links.cut.add('e0')},
-			{at: 0.8, act: world => world.links.cut.delete('e0')},
+			{atShare: 0.1, apply: fixture => fixture.activeFaults.partitioned.add('e0')},
+			{atShare: 0.8, apply: fixture => fixture.activeFaults.partitioned.delete('e0')},
 		],
 	},
 	{
-		name: 'log-down', span: 90_000, rate: () => 8, tokens: 260_000, weighs: 'refusals', place: share => share < 0.7 ? 0 : -1,
+		name: 'log-down', durationMs: 90_000, rate: () => 8, tokens: 260_000, weighs: 'refusals', pickEntry: share => share < 0.7 ? 0 : -1,
 		faults: [
 			{
-				at: 0.1, act(world) {
-					world.links.isLogDown = true;
+				atShare: 0.1, apply(fixture) {
+					fixture.activeFaults.isLogDown = true;
 				},
 			},
 			{
-				at: 0.8, act(world) {
-					world.links.isLogDown = false;
+				atShare: 0.8, apply(fixture) {
+					fixture.activeFaults.isLogDown = false;
 				},
 			},
 		],
 	},
 	{
-		name: 'holder-killed', span: 60_000, rate: () => 8, tokens: 200_000, weighs: 'refusals',
+		name: 'holder-killed', durationMs: 60_000, rate: () => 8, tokens: 200_000, weighs: 'refusals',
 		faults: [{
-			at: 0.3, act(world) {
-				world.kill(0);
+			atShare: 0.3, apply(fixture) {
+				fixture.kill(0);
 			},
 		}],
 	},
 	{
-		name: 'paused-holder', span: 60_000, rate: () => 8, tokens: 200_000, weighs: 'refusals',
+		name: 'paused-holder', durationMs: 60_000, rate: () => 8, tokens: 200_000, weighs: 'refusals',
 		faults: [
 			{
-				at: 0.2, act(world) {
-					world.setPaused(0, true);
+				atShare: 0.2, apply(fixture) {
+					fixture.setPaused(0, true);
 				},
 			},
 			{
-				at: 0.6, act(world) {
-					world.setPaused(0, false);
+				atShare: 0.6, apply(fixture) {
+					fixture.setPaused(0, false);
 				},
 			},
 		],
 	},
 	{
-		name: 'last-2-percent', span: 40_000, rate: () => 8, tokens: 60_000, weighs: 'overspend', faults: [],
+		name: 'last-2-percent', durationMs: 40_000, rate: () => 8, tokens: 60_000, weighs: 'overspend', faults: [],
 	},
 	{
-		name: 'lunch-peak', span: 60_000, rate: share => share > 0.4 && share < 0.6 ? 40 : 3, tokens: 300_000, weighs: 'overspend', faults: [],
+		name: 'lunch-peak', durationMs: 60_000, rate: share => share > 0.4 && share < 0.6 ? 40 : 3, tokens: 300_000, weighs: 'overspend', faults: [],
 	},
 	{
-		name: 'night-trickle', span: 120_000, rate: () => 0.5, tokens: 30_000, weighs: 'refusals',
+		name: 'night-trickle', durationMs: 120_000, rate: () => 0.5, tokens: 30_000, weighs: 'refusals',
 		faults: [
 			{
-				at: 0.2, act(world) {
-					world.links.isLogDown = true;
+				atShare: 0.2, apply(fixture) {
+					fixture.activeFaults.isLogDown = true;
 				},
 			},
 			{
-				at: 0.9, act(world) {
-					world.links.isLogDown = false;
+				atShare: 0.9, apply(fixture) {
+					fixture.activeFaults.isLogDown = false;
 				},
 			},
 		],
@@ -112,132 +113,133 @@
 function buildArrivals(scenario: Scenario): Arrival[] {
 	const random = createRandom(seed);
 	const arrivals: Arrival[] = [];
-	for (let at = 0; at < scenario.span;) {
-		const share = at / scenario.span;
-		at += -Math.log(1 - random()) * 1000 / scenario.rate(share);
+	for (let atMs = 0; atMs < scenario.durationMs;) {
+		const share = atMs / scenario.durationMs;
+		atMs += -Math.log(1 - random()) * 1000 / scenario.rate(share);
 		const cost = Math.min(1000, Math.round(100 + (random() * 660)));
 		arrivals.push({
-			at, share, worst: 1000, cost, span: 500 + (random() * 1500), patience: 2000, entry: scenario.place?.(share) ?? -1,
+			atMs, share, maxCost: 1000, cost, durationMs: 500 + (random() * 1500), timeoutMs: 2000, entry: scenario.pickEntry?.(share) ?? -1,
 		});
 		random();
 	}
 
-	return arrivals.filter(arrival => arrival.at < scenario.span);
+	return arrivals.filter(arrival => arrival.atMs < scenario.durationMs);
 }
 
-// The oracle sees the whole budget at once: it admits whenever the worst case fits, and serves waiting calls first.
-async function playOracle(scenario: Scenario, arrivals: readonly Arrival[]): Promise<Tally> {
+// The oracle knows the whole budget: it admits a request if its maximum cost fits into the free tokens. When a request
+// ends, waiting requests are started in order of arrival.
+async function simulateOracle(scenario: Scenario, arrivals: readonly Arrival[]): Promise<Tally> {
 	const time = createVirtualTime();
 	const tally = createTally(arrivals.length);
-	let free = scenario.tokens;
-	const waiting: Array<{worst: number; until: number; start: () => void}> = [];
+	let freeTokens = scenario.tokens;
+	const waiting: Array<{maxCost: number; deadlineMs: number; start: () => void}> = [];
 
 	function serveWaiting(): void {
 		for (const next of waiting.splice(0)) {
-			if (free < next.worst) {
+			if (freeTokens < next.maxCost) {
 				waiting.push(next);
-			} else if (next.until >= time.now()) {
+			} else if (next.deadlineMs >= time.now()) {
 				next.start();
 			}
 		}
 	}
 
-	async function run(call: Arrival): Promise<void> {
-		free -= call.worst;
-		await time.sleep(call.span);
-		free += call.worst - call.cost;
+	async function run(request: Arrival): Promise<void> {
+		freeTokens -= request.maxCost;
+		await time.sleep(request.durationMs);
+		freeTokens += request.maxCost - request.cost;
 		tally.served += 1;
-		tally.spent += call.cost;
+		tally.spent += request.cost;
 		serveWaiting();
 	}
 
-	async function arrive(call: Arrival): Promise<void> {
-		await time.sleep(call.at);
-		if (free >= call.worst) {
-			await run(call);
+	async function handleArrival(request: Arrival): Promise<void> {
+		await time.sleep(request.atMs);
+		if (freeTokens >= request.maxCost) {
+			await run(request);
 			return;
 		}
 
 		waiting.push({
-			worst: call.worst,
-			until: time.now() + call.patience,
+			maxCost: request.maxCost,
+			deadlineMs: time.now() + request.timeoutMs,
 			start() {
-				void run(call);
+				void run(request);
 			},
 		});
 	}
 
-	for (const call of arrivals) {
-		void arrive(call);
+	for (const request of arrivals) {
+		void handleArrival(request);
 	}
 
-	await time.runUntil(scenario.span + settleSpan);
+	await time.runUntil(scenario.durationMs + settleDurationMs);
 	return tally;
 }
 
 function createTally(arrivals: number): Tally {
 	return {
-		served: 0, spent: 0, falseRefusals: 0, locked: 0, appends: 0, bytes: 0, arrivals,
+		served: 0, spent: 0, falseRefusals: 0, lockedTokenSeconds: 0, appends: 0, bytes: 0, arrivals,
 	};
 }
 
-async function playPolicy(scenario: Scenario, arrivals: readonly Arrival[], {createPolicy, cooperates}: {createPolicy: () => GrantPolicy; cooperates: boolean}): Promise<Tally> {
-	const world = await createBudgetWorld({
-		entries: entryCount, tokens: scenario.tokens, weighs: scenario.weighs, createPolicy, cooperates,
+async function simulatePolicy(scenario: Scenario, arrivals: readonly Arrival[], {createPolicy, canLendAndReclaim}: {createPolicy: () => GrantPolicy; canLendAndReclaim: boolean}): Promise<Tally> {
+	const fixture = await createBudgetFixture({
+		entries: entryCount, tokens: scenario.tokens, weighs: scenario.weighs, createPolicy, canLendAndReclaim,
 	});
 	const tally = createTally(arrivals.length);
-	const start = world.time.now();
-	let reserved = 0;
-	const before = {...world.log.counts};
+	const startMs = fixture.time.now();
+	let reservedTokens = 0;
+	const countsBefore = {...fixture.log.counts};
 
-	// The balancer sends nobody to an entry that is dead or paused.
-	function pickEntry(call: Arrival, index: number): number {
-		const wanted = call.entry >= 0 ? call.entry : index % entryCount;
-		const usable = (candidate: number) => !world.links.dead.has(`e${candidate}`) && !world.links.paused.has(`e${candidate}`);
-		return usable(wanted) ? wanted : [0, 1, 2, 3].find(candidate => usable(candidate))!;
+	// Like a load balancer, sends no request to an entry daemon that is killed or paused.
+	function pickEntry(request: Arrival, index: number): number {
+		const preferred = request.entry >= 0 ? request.entry : index % entryCount;
+		const isUsable = (candidate: number) => !fixture.activeFaults.killed.has(`e${candidate}`) && !fixture.activeFaults.paused.has(`e${candidate}`);
+		return isUsable(preferred) ? preferred : [0, 1, 2, 3].find(candidate => isUsable(candidate))!;
 	}
 
-	async function arrive(call: Arrival, index: number): Promise<void> {
-		await world.time.sleep(call.at);
-		reserved += call.worst;
-		const isServed = await world.serve(pickEntry(call, index), call);
-		reserved -= call.worst;
+	async function handleArrival(request: Arrival, index: number): Promise<void> {
+		await fixture.time.sleep(request.atMs);
+		reservedTokens += request.maxCost;
+		const isServed = await fixture.serve(pickEntry(request, index), request);
+		reservedTokens -= request.maxCost;
 		if (isServed) {
 			tally.served += 1;
-			tally.spent += call.cost;
-		} else if (scenario.tokens - tally.spent - reserved >= call.worst) {
+			tally.spent += request.cost;
+		} else if (scenario.tokens - tally.spent - reservedTokens >= request.maxCost) {
 			tally.falseRefusals += 1;
 		}
 	}
 
 	for (const fault of scenario.faults) {
-		void applyFault(world, fault, scenario.span);
+		void applyFault(fixture, fault, scenario.durationMs);
 	}
 
-	for (const [index, call] of arrivals.entries()) {
-		void arrive(call, index);
+	for (const [index, request] of arrivals.entries()) {
+		void handleArrival(request, index);
 	}
 
-	for (let at = 1000; at <= scenario.span + settleSpan; at += 1000) {
-		await world.time.runUntil(start + at);
-		tally.locked += world.countLocked();
+	for (let elapsedMs = 1000; elapsedMs <= scenario.durationMs + settleDurationMs; elapsedMs += 1000) {
+		await fixture.time.runUntil(startMs + elapsedMs);
+		tally.lockedTokenSeconds += fixture.countLockedTokens();
 	}
 
-	tally.appends = world.log.counts.appends - before.appends;
-	tally.bytes = world.log.counts.bytes - before.bytes;
-	world.stop();
+	tally.appends = fixture.log.counts.appends - countsBefore.appends;
+	tally.bytes = fixture.log.counts.bytes - countsBefore.bytes;
+	fixture.stop();
 	return tally;
 }
 
-async function applyFault(world: BudgetWorld, fault: Scenario['faults'][number], span: number): Promise<void> {
-	await world.time.sleep(fault.at * span);
-	fault.act(world);
+async function applyFault(fixture: BudgetFixture, fault: Scenario['faults'][number], durationMs: number): Promise<void> {
+	await fixture.time.sleep(fault.atShare * durationMs);
+	fault.apply(fixture);
 }
 
-const policies: ReadonlyArray<{readonly name: PolicyName; readonly createPolicy: () => GrantPolicy; readonly cooperates: boolean}> = [
-	{name: 'log-first', createPolicy: () => new LogFirstGrantPolicy(), cooperates: false},
-	{name: 'split-once', createPolicy: () => new SplitOnceGrantPolicy(), cooperates: false},
-	{name: 'chosen', createPolicy: () => new AheadGrantPolicy(), cooperates: true},
+const policies: ReadonlyArray<{readonly name: PolicyName; readonly createPolicy: () => GrantPolicy; readonly canLendAndReclaim: boolean}> = [
+	{name: 'log-first', createPolicy: () => new LogFirstGrantPolicy(), canLendAndReclaim: false},
+	{name: 'split-once', createPolicy: () => new SplitOnceGrantPolicy(), canLendAndReclaim: false},
+	{name: 'chosen', createPolicy: () => new AheadGrantPolicy(), canLendAndReclaim: true},
 ];
 
 function describeRow(scenario: Scenario, policy: PolicyName, {tally, oracle}: {tally: Tally; oracle: Tally}) {
@@ -247,14 +249,14 @@
 		overspendTokens: Math.max(0, tally.spent - scenario.tokens),
 		servedShareOfOracle: roundTo(tally.served / Math.max(1, oracle.served), 4),
 		falseRefusals: tally.falseRefusals,
-		lockedTokenSeconds: Math.round(tally.locked),
+		lockedTokenSeconds: Math.round(tally.lockedTokenSeconds),
 		appendsPerRequest: roundTo(tally.appends / tally.arrivals, 3),
 		bytesPerRequest: Math.round(tally.bytes / tally.arrivals),
 	};
 }
 
 /**
- * Measures grant policies.
+ * Measures every grant policy, and the oracle, in every scenario.
  *
  * @example
  * ```ts
@@ -267,9 +269,9 @@
 	const rows = [];
 	for (const scenario of scenarios) {
 		const arrivals = buildArrivals(scenario);
-		const oracle = await playOracle(scenario, arrivals);
+		const oracle = await simulateOracle(scenario, arrivals);
 		for (const policy of policies) {
-			rows.push(describeRow(scenario, policy.name, {tally: await playPolicy(scenario, arrivals, policy), oracle}));
+			rows.push(describeRow(scenario, policy.name, {tally: await simulatePolicy(scenario, arrivals, policy), oracle}));
 		}
 
 		rows.push(describeRow(scenario, 'oracle', {tally: oracle, oracle}));
--- a/tools/measure/fit-line.ts
+++ b/tools/measure/fit-line.ts
@@ -1,15 +1,15 @@
 /**
- * Least-squares lines through measured points.
+ * Least-squares line through measured points.
  *
  * @module
  */
 
-/** A line and how well it fits. */
+/** A line and its largest error. */
 export type FittedLine = {
-	/** Growth for each unit of size. */
+	/** Growth per unit of size. */
 	readonly slope: number;
 	readonly intercept: number;
-	/** Largest distance of a point from the line, as a share of the point. */
+	/** Largest vertical distance of a point from the line, as a share of the point's value. */
 	readonly fitError: number;
 };
 
@@ -24,14 +24,14 @@
 }
 
 /**
- * Fits a line.
+ * Fits a line by least squares.
  *
  * @example
  * ```ts
  * fitLine([[1, 3], [2, 5], [3, 7]]); // slope 2, intercept 1
  * ```
  *
- * @param points Size and value
+ * @param points Pairs of size and value
  * @returns The line
  */
 export function fitLine(points: ReadonlyArray<readonly [number, number]>): FittedLine {
--- a/tools/measure/main.ts
+++ b/tools/measure/main.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run measure -- NAME [--json]`
+ * Command line of the measurements: `npm run measure -- NAME [--json]`.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import {measureConfiguration} from './configuration.js';
 import {measureContention} from './contention.js';
 import {measurePath} from './path.js';
-import {printDocument} from './report.js';
+import {printReport} from './report.js';
 import {measureRouting} from './routing.js';
 import {measureSlopes} from './slopes.js';
 
@@ -28,7 +28,7 @@
 
 await run(command({
 	name: 'measure',
-	description: 'Runs one measurement; each ends within 50 s, contention within 30 s a size',
+	description: 'Runs one measurement; each takes at most 50 s, contention at most 30 s per number of gateways',
 	args: {
 		name: positional({type: oneOf(Object.keys(measurements)), displayName: 'NAME'}),
 		sizes: option({
@@ -37,6 +37,6 @@
 		json: flag({long: 'json', description: 'print one JSON document'}),
 	},
 	async handler({name, sizes, json}) {
-		printDocument(await measurements[name]!({sizes: sizes.split(',').map(Number)}), json);
+		printReport(await measurements[name]!({sizes: sizes.split(',').map(Number)}), json);
 	},
 }), process.argv.slice(2));
--- a/tools/measure/path.ts
+++ b/tools/measure/path.ts
@@ -1,7 +1,7 @@
 /**
- * What the two hops add: the same requests against the engine directly and
- * through an entry and an upstream daemon, in one run; and how many requests a
- * second a pair of daemons carries.
+ * Measures the overhead of the two hops: sends the same requests directly to the
+ * engine and through an entry and an upstream daemon, and compares durations and
+ * requests per second.
  *
  * @module
  */
@@ -11,54 +11,54 @@
 import {pickPercentile, roundTo} from './report.js';
 
 const key = 'measure-key';
-const samples = 300;
-const warmUp = 50;
-const parallel = 48;
-const loadSpan = 8000;
+const sampleCount = 300;
+const warmUpCount = 50;
+const concurrency = 48;
+const loadDurationMs = 8000;
 
-type Ask = () => Promise<CallerAnswer>;
+type SendRequest = () => Promise<CallerAnswer>;
 
-async function sample(ask: Ask): Promise<number[]> {
-	const spans: number[] = [];
-	for (let index = 0; index < samples + warmUp; index++) {
-		const answer = await ask();
-		if (!answer.isWhole) {
-			throw new Error(`A measured request failed with status ${answer.status}`);
+async function sampleDurations(sendRequest: SendRequest): Promise<number[]> {
+	const durationsMs: number[] = [];
+	for (let index = 0; index < sampleCount + warmUpCount; index++) {
+		const response = await sendRequest();
+		if (!response.isWhole) {
+			throw new Error(`A measured request failed with status ${response.status}`);
 		}
 
-		if (index >= warmUp) {
-			spans.push(answer.totalMs);
+		if (index >= warmUpCount) {
+			durationsMs.push(response.totalMs);
 		}
 	}
 
-	return spans;
+	return durationsMs;
 }
 
-async function countRate(ask: Ask): Promise<number> {
-	const until = performance.now() + loadSpan;
+async function measureThroughput(sendRequest: SendRequest): Promise<number> {
+	const endMs = performance.now() + loadDurationMs;
 	let served = 0;
-	await Promise.all(Array.from({length: parallel}, async () => {
-		while (performance.now() < until) {
-			const answer = await ask();
-			served += answer.isWhole ? 1 : 0;
+	await Promise.all(Array.from({length: concurrency}, async () => {
+		while (performance.now() < endMs) {
+			const response = await sendRequest();
+			served += response.isWhole ? 1 : 0;
 		}
 	}));
-	return served / (loadSpan / 1000);
+	return served / (loadDurationMs / 1000);
 }
 
-function describeSpans(spans: readonly number[]) {
-	return {p50Ms: roundTo(pickPercentile(spans, 50), 2), p99Ms: roundTo(pickPercentile(spans, 99), 2)};
+function summarizeDurations(durationsMs: readonly number[]) {
+	return {p50Ms: roundTo(pickPercentile(durationsMs, 50), 2), p99Ms: roundTo(pickPercentile(durationsMs, 99), 2)};
 }
 
 /**
- * Measures the path.
+ * Measures the request path with and without the daemons.
  *
  * @example
  * ```ts
  * await measurePath();
  * ```
  *
- * @returns Spans of whole answers of 8 tokens, and requests a second
+ * @returns Durations of complete responses of 8 tokens, and requests per second
  */
 export async function measurePath() {
 	const fleet = await startFleet({
@@ -70,13 +70,13 @@
 		const options = {
 			key, content: 'answer 8', maxTokens: 8, stream: true,
 		};
-		const direct = await sample(async () => askChat(upstream!.standIn.ready.url, options));
-		const routed = await sample(async () => askChat(fleet.entries[0]!.process.ready.callers, options));
-		const requestsPerSecond = await countRate(async () => askChat(fleet.entries[0]!.process.ready.callers, options));
-		const directPerSecond = await countRate(async () => askChat(upstream!.standIn.ready.url, options));
+		const direct = await sampleDurations(async () => askChat(upstream!.standIn.ready.url, options));
+		const routed = await sampleDurations(async () => askChat(fleet.entries[0]!.process.ready.callers, options));
+		const requestsPerSecond = await measureThroughput(async () => askChat(fleet.entries[0]!.process.ready.callers, options));
+		const directPerSecond = await measureThroughput(async () => askChat(upstream!.standIn.ready.url, options));
 		await fetchDocument(`${upstream!.standIn.ready.url}/counts`);
 		return {
-			direct: describeSpans(direct), routed: describeSpans(routed), requestsPerSecond: roundTo(requestsPerSecond, 0), directPerSecond: roundTo(directPerSecond, 0),
+			direct: summarizeDurations(direct), routed: summarizeDurations(routed), requestsPerSecond: roundTo(requestsPerSecond, 0), directPerSecond: roundTo(directPerSecond, 0),
 		};
 	} finally {
 		await fleet.stop();
--- a/tools/measure/random.ts
+++ b/tools/measure/random.ts
@@ -1,5 +1,5 @@
 /**
- * Random numbers that are the same in every run.
+ * Reproducible pseudo-random numbers.
  *
  * @module
  */
@@ -8,8 +8,8 @@
 const modulus = 2_147_483_647;
 
 /**
- * Creates a source of random numbers in [0, 1) (the minimal standard generator
- * of Park and Miller, 1988).
+ * Creates a generator of pseudo-random numbers in [0, 1): the minimal standard
+ * generator of Park and Miller (1988).
  *
  * @example
  * ```ts
@@ -17,7 +17,7 @@
  * ```
  *
  * @param seed A whole number above 0
- * @returns The source
+ * @returns A function that returns the next number
  */
 export function createRandom(seed: number): () => number {
 	let state = seed % modulus;
--- a/tools/measure/report.ts
+++ b/tools/measure/report.ts
@@ -1,12 +1,12 @@
 /**
- * Percentiles and the way a measurement is printed.
+ * Percentiles, rounding and printing of measurements.
  *
  * @module
  */
 import process from 'node:process';
 
 /**
- * Picks a percentile.
+ * Returns a percentile of a list of values.
  *
  * @example
  * ```ts
@@ -14,8 +14,8 @@
  * ```
  *
  * @param values In any order
- * @param percentile 0 to 100
- * @returns The value, or 0 for none
+ * @param percentile From 0 to 100
+ * @returns The percentile, or 0 for an empty list
  */
 export function pickPercentile(values: readonly number[], percentile: number): number {
 	const sorted = values.toSorted((left, right) => left - right);
@@ -23,15 +23,15 @@
 }
 
 /**
- * Rounds to a number of decimals.
+ * Rounds a number to a number of decimals.
  *
  * @example
  * ```ts
  * roundTo(1.2345, 2); // 1.23
  * ```
  *
- * @param value The value
- * @param decimals Decimals kept
+ * @param value The number to round
+ * @param decimals Number of decimals to keep
  * @returns The rounded value
  */
 export function roundTo(value: number, decimals: number): number {
@@ -39,21 +39,21 @@
 }
 
 /**
- * Prints a document, as JSON or as a table.
+ * Prints a report as JSON or as a table.
  *
  * @example
  * ```ts
- * printDocument({rows: []}, false);
+ * printReport({rows: []}, false);
  * ```
  *
- * @param document What was measured
- * @param isJson One JSON document instead of a table
+ * @param report The results; of a report with `rows`, the table shows only these
+ * @param asJson True for one JSON document instead of a table
  */
-export function printDocument(document: Record<string, unknown>, isJson: boolean): void {
-	if (isJson) {
-		process.stdout.write(`${JSON.stringify(document)}\n`);
+export function printReport(report: Record<string, unknown>, asJson: boolean): void {
+	if (asJson) {
+		process.stdout.write(`${JSON.stringify(report)}\n`);
 		return;
 	}
 
-	console.table(document.rows ?? document);
+	console.table(report.rows ?? report);
 }
--- a/tools/measure/routing-least-reported.ts
+++ b/tools/measure/routing-least-reported.ts
@@ -1,5 +1,6 @@
 /**
- * Puts a baseline in the place of the chosen routing policy: the least load by lagging reports.
+ * Replaces the routing policy with a baseline: lowest load in the last reports,
+ * which may be outdated.
  *
  * @module
  */
--- a/tools/measure/routing-random.ts
+++ b/tools/measure/routing-random.ts
@@ -1,5 +1,5 @@
 /**
- * Puts a baseline in the place of the chosen routing policy: any upstream.
+ * Replaces the routing policy with a baseline: random choice.
  *
  * @module
  */
--- a/tools/measure/routing-round-robin.ts
+++ b/tools/measure/routing-round-robin.ts
@@ -1,5 +1,5 @@
 /**
- * Puts a baseline in the place of the chosen routing policy: one upstream after the other.
+ * Replaces the routing policy with a baseline: round-robin.
  *
  * @module
  */
--- a/tools/measure/routing.ts
+++ b/tools/measure/routing.ts
@@ -1,6 +1,6 @@
 /**
- * Routing policies before real engines' stand-ins: a slow one, one whose
- * reports lag, a dead one, at three loads.
+ * Compares routing policies on stand-in engines: with three loads while all are
+ * healthy, then while one is slow, the reports of one lag and one is dead.
  *
  * @module
  */
@@ -13,51 +13,51 @@
 
 const key = 'measure-key';
 const seed = 20_261_202;
-const loadSpan = 1600;
+const loadDurationMs = 1600;
 const engineCount = 4;
 const capacity = 8;
 const answerTokens = 20;
-const tokenPause = 5;
-const prefill = 60;
+const tokenIntervalMs = 5;
+const prefillMs = 60;
 const deadline = '2s';
-const prefixes = 24;
-/** Requests a second that all engines carry together with every prefix cached. */
-const fullRate = engineCount * capacity * 1000 / ((answerTokens * tokenPause) + (prefill / 4));
+const prefixCount = 24;
+/** Requests per second that all engines together can serve if every prefix is cached. */
+const fullLoadRate = engineCount * capacity * 1000 / ((answerTokens * tokenIntervalMs) + (prefillMs / 4));
 
-type Tally = {readonly answers: Array<CallerAnswer | undefined>};
+type LoadResult = {readonly responses: Array<CallerAnswer | undefined>};
 
-const faults: ReadonlyArray<{readonly name: string; readonly set: (fleet: TestFleet) => Promise<void>}> = [
+const faults: ReadonlyArray<{readonly name: string; readonly inject: (fleet: TestFleet) => Promise<void>}> = [
 	{
 		name: 'healthy',
-		async set() {
+		async inject() {
 			await Promise.resolve();
 		},
 	},
 	{
 		name: 'one slow',
-		async set(fleet) {
-			await setEngine(fleet, 0, {tokenPause: tokenPause * 5, prefill: prefill * 5});
+		async inject(fleet) {
+			await configureEngine(fleet, 0, {tokenPause: tokenIntervalMs * 5, prefill: prefillMs * 5});
 		},
 	},
 	{
 		name: 'one slow, one lags 5 s',
-		async set(fleet) {
-			await setEngine(fleet, 1, {lag: 5000});
+		async inject(fleet) {
+			await configureEngine(fleet, 1, {lag: 5000});
 		},
 	},
 	{
 		name: 'one slow, one lags, one dead',
-		async set(fleet) {
+		async inject(fleet) {
 			await fleet.upstreams[2]!.process.kill();
 		},
 	},
 ];
 
-async function setEngine(fleet: TestFleet, index: number, control: Record<string, unknown>): Promise<void> {
-	await fetchDocument(`${fleet.upstreams[index]!.standIn.ready.url}/control`, control);
+async function configureEngine(fleet: TestFleet, index: number, settings: Record<string, unknown>): Promise<void> {
+	await fetchDocument(`${fleet.upstreams[index]!.standIn.ready.url}/control`, settings);
 }
 
-async function countCache(fleet: TestFleet): Promise<{runs: number; hits: number; repeats: number}> {
+async function readEngineCounts(fleet: TestFleet): Promise<{runs: number; hits: number; repeats: number}> {
 	const total = {runs: 0, hits: 0, repeats: 0};
 	for (const upstream of fleet.upstreams) {
 		const counts = await fetchDocument<{runs: number; cacheHits: number; repeats: number}>(`${upstream.standIn.ready.url}/counts`);
@@ -69,57 +69,57 @@
 	return total;
 }
 
-async function playLoad(fleet: TestFleet, load: number): Promise<Tally> {
+async function generateLoad(fleet: TestFleet, load: number): Promise<LoadResult> {
 	const random = createRandom(seed);
-	const answers: Array<CallerAnswer | undefined> = [];
-	const calls: Array<Promise<void>> = [];
-	const until = performance.now() + loadSpan;
-	let turn = 0;
-	while (performance.now() < until) {
-		turn += 1;
-		const prefix = `Prefix ${Math.floor(random() * prefixes)} `.repeat(40);
-		calls.push(callOnce(fleet.entries[turn % 2]!.process.ready.callers, `${prefix} answer ${answerTokens}`, answers));
-		await wait(-Math.log(1 - random()) * 1000 / (fullRate * load));
+	const responses: Array<CallerAnswer | undefined> = [];
+	const pending: Array<Promise<void>> = [];
+	const endMs = performance.now() + loadDurationMs;
+	let requestCount = 0;
+	while (performance.now() < endMs) {
+		requestCount += 1;
+		const prefix = `Prefix ${Math.floor(random() * prefixCount)} `.repeat(40);
+		pending.push(sendRequest(fleet.entries[requestCount % 2]!.process.ready.callers, `${prefix} answer ${answerTokens}`, responses));
+		await wait(-Math.log(1 - random()) * 1000 / (fullLoadRate * load));
 	}
 
-	await Promise.all(calls);
-	return {answers};
+	await Promise.all(pending);
+	return {responses};
 }
 
-async function callOnce(url: string, content: string, answers: Array<CallerAnswer | undefined>): Promise<void> {
+async function sendRequest(url: string, content: string, responses: Array<CallerAnswer | undefined>): Promise<void> {
 	try {
-		answers.push(await askChat(url, {
+		responses.push(await askChat(url, {
 			key, content, maxTokens: answerTokens, stream: true, deadline,
 		}));
 	} catch {
-		answers.push(undefined);
+		responses.push(undefined);
 	}
 }
 
 async function measurePolicy(policy: string) {
 	const fleet = await startFleet({
-		entries: 2, engines: engineCount, bookings: 0, engine: {tokenPause, prefill, capacity}, upstreamSettings: {capacity, queue: 32},
+		entries: 2, engines: engineCount, bookings: 0, engine: {tokenPause: tokenIntervalMs, prefill: prefillMs, capacity}, upstreamSettings: {capacity, queue: 32},
 		replace: policy === 'chosen' ? undefined : {'src/coordination/routing-policy.js': `tools/measure/routing-${policy}.js`},
 	});
 	try {
 		await fleet.configure([{name: 'measure', key, tokens: 1_000_000_000}]);
-		await playLoad(fleet, 0.3);
+		await generateLoad(fleet, 0.3);
 		const rows = [];
 		for (const fault of faults) {
-			await fault.set(fleet);
+			await fault.inject(fleet);
 			for (const load of fault.name === 'healthy' ? [0.5, 0.9, 1.2] : [0.5]) {
-				const before = await countCache(fleet);
-				const {answers} = await playLoad(fleet, load);
-				const after = await countCache(fleet);
-				const served = answers.filter(answer => answer?.isWhole);
-				const spans = served.map(answer => answer!.firstMs);
+				const countsBefore = await readEngineCounts(fleet);
+				const {responses} = await generateLoad(fleet, load);
+				const countsAfter = await readEngineCounts(fleet);
+				const served = responses.filter(response => response?.isWhole);
+				const firstTokenTimesMs = served.map(response => response!.firstMs);
 				rows.push({
 					fault: fault.name, loadPercent: load * 100, policy,
-					firstP50Ms: roundTo(pickPercentile(spans, 50), 0),
-					firstP99Ms: roundTo(pickPercentile(spans, 99), 0),
-					servedShare: roundTo(served.length / answers.length, 3),
-					cacheHitShare: roundTo((after.hits - before.hits) / Math.max(1, after.runs - before.runs), 3),
-					workTwice: after.repeats - before.repeats,
+					firstP50Ms: roundTo(pickPercentile(firstTokenTimesMs, 50), 0),
+					firstP99Ms: roundTo(pickPercentile(firstTokenTimesMs, 99), 0),
+					servedShare: roundTo(served.length / responses.length, 3),
+					cacheHitShare: roundTo((countsAfter.hits - countsBefore.hits) / Math.max(1, countsAfter.runs - countsBefore.runs), 3),
+					workTwice: countsAfter.repeats - countsBefore.repeats,
 				});
 			}
 		}
@@ -131,7 +131,7 @@
 }
 
 /**
- * Measures routing policies.
+ * Measures every routing policy under every fault and load.
  *
  * @example
  * ```ts
--- a/tools/measure/slopes.ts
+++ b/tools/measure/slopes.ts
@@ -1,6 +1,6 @@
 /**
- * What state, messages and processor time grow with: budgets, grants,
- * configuration records, requests and peers.
+ * Measures how memory, stored bytes and processor time grow with the number of
+ * budgets, grants, receipts and peers.
  *
  * @module
  */
@@ -12,12 +12,12 @@
 import {createFleetState, formatGrantId} from '../../src/state/mod.js';
 import {startFleet} from '../harness/mod.js';
 import {fitLine, type FittedLine} from './fit-line.js';
-import {readProcessUse} from './process-time.js';
+import {readProcessUsage} from './process-usage.js';
 import {roundTo} from './report.js';
 
-const window = 3_600_000;
-const idleSpan = 4000;
-const kilobyte = 1024;
+const retentionMs = 3_600_000;
+const idleDurationMs = 4000;
+const bytesPerKilobyte = 1024;
 
 type Slope = FittedLine & {readonly what: string; readonly unit: string; readonly points: ReadonlyArray<readonly [number, number]>};
 
@@ -27,13 +27,13 @@
 	};
 }
 
-function readHeap(): number {
+function readHeapBytes(): number {
 	globalThis.gc?.();
 	return process.memoryUsage().heapUsed;
 }
 
-function fillBudgets(count: number) {
-	const state = createFleetState({retentionMs: window});
+function createStateWithBudgets(count: number) {
+	const state = createFleetState({retentionMs});
 	let offset = 0;
 	const fold = (data: LogRecord) => {
 		state.fold({offset, at: offset, data});
@@ -58,17 +58,17 @@
 	return {state, fold};
 }
 
-// Memory and fold time of budgets, then of one grant on each.
+// Memory and snapshot size of budgets, and memory and fold time of one grant on each.
 function measureLedger(sizes: readonly number[]): Slope[] {
-	const memory: Array<[number, number]> = [];
-	const grantMemory: Array<[number, number]> = [];
-	const claimTime: Array<[number, number]> = [];
-	const snapshot: Array<[number, number]> = [];
+	const budgetBytes: Array<[number, number]> = [];
+	const grantBytes: Array<[number, number]> = [];
+	const claimMicroseconds: Array<[number, number]> = [];
+	const snapshotBytes: Array<[number, number]> = [];
 	for (const size of sizes) {
-		const before = readHeap();
-		const {state, fold} = fillBudgets(size);
-		const filled = readHeap();
-		memory.push([size, filled - before]);
+		const heapBefore = readHeapBytes();
+		const {state, fold} = createStateWithBudgets(size);
+		const heapWithBudgets = readHeapBytes();
+		budgetBytes.push([size, heapWithBudgets - heapBefore]);
 		const startedAt = performance.now();
 		for (let index = 0; index < size; index++) {
 			fold({
@@ -76,31 +76,31 @@
 			});
 		}
 
-		claimTime.push([size, (performance.now() - startedAt) * 1000]);
-		grantMemory.push([size, readHeap() - filled]);
-		snapshot.push([size, Buffer.byteLength(JSON.stringify(state.buildSnapshot()))]);
+		claimMicroseconds.push([size, (performance.now() - startedAt) * 1000]);
+		grantBytes.push([size, readHeapBytes() - heapWithBudgets]);
+		snapshotBytes.push([size, Buffer.byteLength(JSON.stringify(state.buildSnapshot()))]);
 	}
 
 	return [
-		fitSlope('budgets: memory', 'bytes a budget', memory),
-		fitSlope('grants: memory', 'bytes a grant', grantMemory),
-		fitSlope('claims: fold time', 'microseconds a claim', claimTime),
-		fitSlope('budgets: snapshot', 'bytes a budget with one grant', snapshot),
+		fitSlope('budgets: memory', 'bytes a budget', budgetBytes),
+		fitSlope('grants: memory', 'bytes a grant', grantBytes),
+		fitSlope('claims: fold time', 'microseconds a claim', claimMicroseconds),
+		fitSlope('budgets: snapshot', 'bytes a budget with one grant', snapshotBytes),
 	];
 }
 
 function measureReceipts(sizes: readonly number[]): Slope[] {
-	const time: Array<[number, number]> = [];
-	const memory: Array<[number, number]> = [];
-	const bytes: Array<[number, number]> = [];
+	const foldMicroseconds: Array<[number, number]> = [];
+	const stateBytes: Array<[number, number]> = [];
+	const logBytes: Array<[number, number]> = [];
 	for (const size of sizes) {
-		const {state, fold} = fillBudgets(1);
+		const {state, fold} = createStateWithBudgets(1);
 		fold({
 			kind: 'join', daemon: 'u', incarnation: 'i', role: 'upstream', address: 'a', failureDomain: 'd', serves: [], work: 'model',
 		});
-		const before = readHeap();
+		const heapBefore = readHeapBytes();
 		const startedAt = performance.now();
-		let size0 = 0;
+		let recordBytes = 0;
 		for (let batch = 0; batch < size / 100; batch++) {
 			const record: LogRecord = {
 				kind: 'receipts', sequence: batch + 1, daemon: 'u', incarnation: 'i',
@@ -108,27 +108,27 @@
 					request: `request-${batch}-${index}-abcdef`, attempt: 1, shares: [{grant: 'g-0123456789abcdef0123456789abcdef@budget-0', amount: 310}],
 				})),
 			};
-			size0 += JSON.stringify(record).length;
+			recordBytes += JSON.stringify(record).length;
 			fold(record);
 		}
 
-		time.push([size, (performance.now() - startedAt) * 1000]);
-		memory.push([size, readHeap() - before]);
-		bytes.push([size, size0]);
+		foldMicroseconds.push([size, (performance.now() - startedAt) * 1000]);
+		stateBytes.push([size, readHeapBytes() - heapBefore]);
+		logBytes.push([size, recordBytes]);
 		state.getNextOffset();
 	}
 
 	return [
-		fitSlope('receipts: fold time', 'microseconds a request', time),
-		fitSlope('receipts: memory in the window', 'bytes a request', memory),
-		fitSlope('receipts: log bytes', 'bytes a request', bytes),
+		fitSlope('receipts: fold time', 'microseconds a request', foldMicroseconds),
+		fitSlope('receipts: memory in the window', 'bytes a request', stateBytes),
+		fitSlope('receipts: log bytes', 'bytes a request', logBytes),
 	];
 }
 
-// Processor time of an idle entry daemon by the peers it exchanges heartbeats with, at one a second each.
+// Processor time and memory of an idle entry daemon by the number of peers, with one heartbeat per second and peer.
 async function measurePeers(sizes: readonly number[]): Promise<Slope[]> {
-	const time: Array<[number, number]> = [];
-	const memory: Array<[number, number]> = [];
+	const cpuPercent: Array<[number, number]> = [];
+	const residentKilobytes: Array<[number, number]> = [];
 	for (const size of sizes) {
 		const fleet = await startFleet({
 			entries: 2, engines: size - 1, bookings: 0, settings: {heartbeat: {every: '1s', suspectAfter: '5s'}},
@@ -137,21 +137,21 @@
 		await fleet.waitForVersion(0);
 		await wait(2500);
 		const {pid} = fleet.entries[0]!.process.ready;
-		const before = readProcessUse(pid);
-		await wait(idleSpan);
-		const after = readProcessUse(pid);
-		time.push([size, (after.seconds - before.seconds) / (idleSpan / 1000) * 100]);
-		memory.push([size, after.kilobytes]);
+		const usageBefore = readProcessUsage(pid);
+		await wait(idleDurationMs);
+		const usageAfter = readProcessUsage(pid);
+		cpuPercent.push([size, (usageAfter.cpuSeconds - usageBefore.cpuSeconds) / (idleDurationMs / 1000) * 100]);
+		residentKilobytes.push([size, usageAfter.residentKilobytes]);
 		await fleet.kill();
 	}
 
 	return [
-		fitSlope('peers: processor time of an idle entry', 'percent of a core a peer, one heartbeat a second', time),
-		fitSlope('peers: resident memory of an entry', 'KB a peer; the intercept is Node.js and the product\'s code', memory),
+		fitSlope('peers: processor time of an idle entry', 'percent of a core a peer, one heartbeat a second', cpuPercent),
+		fitSlope('peers: resident memory of an entry', 'KB a peer; the intercept is Node.js and the product\'s code', residentKilobytes),
 	];
 }
 
-function measureHeartbeat(): number {
+function countHeartbeatBytes(): number {
 	const request = toBinary(HeartbeatRequestSchema, create(HeartbeatRequestSchema, {
 		from: 'entry-17', incarnation: 'i-0123456789abcdef0123456789abcdef', role: 'entry', nextOffset: 123_456,
 	}));
@@ -165,14 +165,14 @@
 }
 
 /**
- * Measures slopes.
+ * Measures growth and fits a line to each series.
  *
  * @example
  * ```ts
- * const {slopes} = await measureSlopes();
+ * const {rows} = await measureSlopes();
  * ```
  *
- * @returns Each slope with its points and fit error
+ * @returns Size of a heartbeat, size of a snapshot, and each line with its points and fit error
  */
 export async function measureSlopes() {
 	const slopes = [
@@ -181,6 +181,6 @@
 		...await measurePeers([4, 12, 32]),
 	];
 	return {
-		heartbeatBytes: measureHeartbeat(), snapshotKilobytesPerThousandBudgets: roundTo(slopes[3]!.slope * 1000 / kilobyte, 1), rows: slopes,
+		heartbeatBytes: countHeartbeatBytes(), snapshotKilobytesPerThousandBudgets: roundTo(slopes[3]!.slope * 1000 / bytesPerKilobyte, 1), rows: slopes,
 	};
 }
--- a/tools/measure/virtual-clock.ts
+++ b/tools/measure/virtual-clock.ts
@@ -1,33 +1,33 @@
 /**
- * Time that jumps from one event to the next, so that minutes of the product's
- * own modules pass in a moment.
+ * Virtual time that advances from one timer to the next without waiting, so that
+ * minutes of simulated time take little real time.
  *
  * @module
  */
 import type {Clock} from '../../src/transport/mod.js';
 
-/** A clock of one actor, which can be paused. */
-export type ActorClock = Clock & {
-	/** Holds back everything the actor waits for, as a stopped process. */
+/** The clock of one simulated process, which can be paused. */
+export type PausableClock = Clock & {
+	/** While paused, no `sleep` of this clock resolves, as in a paused process. */
 	readonly setPaused: (isPaused: boolean) => void;
 };
 
-/** Time for all actors. */
+/** Virtual time shared by all simulated processes. */
 export type VirtualTime = {
 	readonly now: () => number;
 	readonly sleep: Clock['sleep'];
-	readonly createActorClock: () => ActorClock;
-	/** Lets time pass until an instant. */
-	readonly runUntil: (instant: number) => Promise<void>;
+	readonly createPausableClock: () => PausableClock;
+	/** Fires all timers due until a time in milliseconds, in order, and advances the time to it. */
+	readonly runUntil: (atMs: number) => Promise<void>;
 };
 
-type Timer = {readonly at: number; readonly order: number; readonly wake: () => void};
+type Timer = {readonly atMs: number; readonly order: number; readonly wake: () => void};
 
-const settleTurns = 2;
+const eventLoopTurns = 2;
 
 /** @internal */
-async function settle(): Promise<void> {
-	for (let turn = 0; turn < settleTurns; turn++) {
+async function runPendingCallbacks(): Promise<void> {
+	for (let turn = 0; turn < eventLoopTurns; turn++) {
 		await new Promise(resolve => {
 			setImmediate(resolve);
 		});
@@ -43,11 +43,11 @@
  * await time.runUntil(60_000);
  * ```
  *
- * @returns The time
+ * @returns The virtual time
  */
 export function createVirtualTime(): VirtualTime {
 	const timers: Timer[] = [];
-	let now = 0;
+	let nowMs = 0;
 	let order = 0;
 
 	function insert(timer: Timer): void {
@@ -56,7 +56,7 @@
 		while (low < high) {
 			const middle = Math.floor((low + high) / 2);
 			const other = timers[middle]!;
-			if (other.at < timer.at || (other.at === timer.at && other.order < timer.order)) {
+			if (other.atMs < timer.atMs || (other.atMs === timer.atMs && other.order < timer.order)) {
 				low = middle + 1;
 			} else {
 				high = middle;
@@ -66,7 +66,7 @@
 		timers.splice(low, 0, timer);
 	}
 
-	async function sleep(span: number, signal?: AbortSignal): Promise<void> {
+	async function sleep(durationMs: number, signal?: AbortSignal): Promise<void> {
 		if (signal?.aborted) {
 			return;
 		}
@@ -79,22 +79,22 @@
 
 			order += 1;
 			insert({
-				at: now + Math.max(0, span), order, wake: end,
+				atMs: nowMs + Math.max(0, durationMs), order, wake: end,
 			});
 			signal?.addEventListener('abort', end);
 		});
 	}
 
 	return {
-		now: () => now,
+		now: () => nowMs,
 		sleep,
-		createActorClock() {
+		createPausableClock() {
 			let resumed: Promise<void> | undefined;
 			let resume: () => void = () => undefined;
 			return {
-				now: () => now,
-				async sleep(span, signal) {
-					await sleep(span, signal);
+				now: () => nowMs,
+				async sleep(durationMs, signal) {
+					await sleep(durationMs, signal);
 					await resumed;
 				},
 				setPaused(isPaused) {
@@ -107,18 +107,18 @@
 				},
 			};
 		},
-		async runUntil(instant) {
-			await settle();
-			while (timers.length > 0 && timers[0]!.at <= instant) {
-				now = timers[0]!.at;
-				while (timers.length > 0 && timers[0]!.at === now) {
+		async runUntil(atMs) {
+			await runPendingCallbacks();
+			while (timers.length > 0 && timers[0]!.atMs <= atMs) {
+				nowMs = timers[0]!.atMs;
+				while (timers.length > 0 && timers[0]!.atMs === nowMs) {
 					timers.shift()!.wake();
 				}
 
-				await settle();
+				await runPendingCallbacks();
 			}
 
-			now = instant;
+			nowMs = atMs;
 		},
 	};
 }
--- a/vitest.config.ts
+++ b/vitest.config.ts
@@ -6,7 +6,7 @@
 		setupFiles: ['tools/pass-over-known-red.ts'],
 		testTimeout: 60_000,
 		hookTimeout: 60_000,
-		// The process proofs measure time bounds, so test files take turns on a small machine.
+		// The process proofs check time limits; on a small machine, test files running in parallel could delay them.
 		maxWorkers: 1,
 		maxConcurrency: 3,
 		minWorkers: 1,
