--- a/src/coordination/attempt-runner.ts
+++ b/src/coordination/attempt-runner.ts
@@ -31,7 +31,7 @@
 	readonly mayRepeat: boolean;
 	readonly budget: string;
 	/** Highest possible cost, in tokens. */
-	readonly worstCase: number;
+	readonly worstCaseTokens: number;
 	readonly priority: number;
 	readonly payload: Uint8Array;
 	/** Digest of the beginning of the prompt. */
@@ -39,7 +39,7 @@
 	/** Clock time of the caller's deadline, in milliseconds. */
 	readonly deadline: number;
 	/** Timeout for reserving tokens, in milliseconds. */
-	readonly patience: number;
+	readonly tokenTimeoutMs: number;
 	/** Aborted when the caller disconnects. */
 	readonly signal: AbortSignal;
 	/** Discards the chunks yielded so far; undefined if chunks are passed on to the caller as they arrive. */
@@ -300,8 +300,8 @@
 		}
 	}
 
-	async function startAttempt(call: RoutedCall, member: Readonly<Member>, tokenTimeoutMs = call.patience): Promise<Result<Attempt, Failure>> {
-		const reserved = await grants.acquire(call.budget, call.worstCase, {timeoutMs: Math.min(tokenTimeoutMs, call.deadline - clock.now()), signal: call.signal});
+	async function startAttempt(call: RoutedCall, member: Readonly<Member>, tokenTimeoutMs = call.tokenTimeoutMs): Promise<Result<Attempt, Failure>> {
+		const reserved = await grants.acquire(call.budget, call.worstCaseTokens, {timeoutMs: Math.min(tokenTimeoutMs, call.deadline - clock.now()), signal: call.signal});
 		if (reserved.err) {
 			return reserved;
 		}
--- a/src/coordination/gossip.test.ts
+++ b/src/coordination/gossip.test.ts
@@ -4,7 +4,7 @@
 import {createVirtualTime} from '../../tools/measure/virtual-clock.js';
 import type {EventLog} from '../protocol/mod.js';
 import {createPeerViews, type PeerView, type PlacedPrompt} from '../state/mod.js';
-import {createPeerNews} from './mod.js';
+import {createGossip} from './mod.js';
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
 /** One-way delay between two hosts. */
@@ -27,14 +27,14 @@
 		if (!state.isPartitioned && !receiver.state.isPartitioned && random() >= lossRate) {
 			receiver.state.datagrams += 1;
 			receiver.state.bytes += message.length;
-			receiver.gossip.take(message);
+			receiver.gossip.handleMessage(message);
 		}
 	};
 
-	const gossip = createPeerNews({
+	const gossip = createGossip({
 		clock: time, events, daemon, views, random,
 		listPeers: () => members.filter(member => member.daemon !== daemon).map(member => ({daemon: member.daemon, newsAddress: member.daemon})),
-		readOwn: (): PeerView => ({
+		getOwnView: (): PeerView => ({
 			daemon, incarnation: 'i', address: `${daemon}:1`, version: 1, isLeaving: false, crashes: [],
 			free: [{customer: 'c', tokens: 1000}],
 			uses: Array.from({length: 8}, (_, upstream) => ({upstream: `upstream-${upstream}`, inFlight: state.inFlight, waitingTokens: 4000})),
@@ -70,7 +70,7 @@
 		while (!stopper.signal.aborted) {
 			await time.sleep(50);
 			member.state.inFlight += 1;
-			member.gossip.noteChange();
+			member.gossip.markChanged();
 		}
 	};
 
@@ -86,7 +86,7 @@
 test('a change reaches all of four gateways within one interval', async () => {
 	const {members, time, stopper} = await runFleet(4, {durationMs: 1000});
 	members[0]!.state.inFlight = 1000;
-	members[0]!.gossip.noteChange();
+	members[0]!.gossip.markChanged();
 	await time.runUntil(1060);
 	expect(members.slice(1).map(({views}) => views.get('e0')!.uses[0]!.inFlight)).toEqual([1000, 1000, 1000]);
 	stopper.abort();
@@ -121,7 +121,7 @@
 	members[0]!.state.isPartitioned = true;
 	await time.runUntil(8000);
 	expect(members[1]!.views.has('e0')).toBe(false);
-	expect(members[1]!.gossip.listSilent()).toEqual(['e0']);
+	expect(members[1]!.gossip.listUnresponsive()).toEqual(['e0']);
 	members[0]!.state.isPartitioned = false;
 	await time.runUntil(10_000);
 	expect(members.slice(1).every(({views}) => views.has('e0'))).toBe(true);
@@ -131,21 +131,21 @@
 // Guards against a permanent refusal while a gateway that has just started has not advertised its free tokens yet.
 test('a gateway is listed as unresponsive before it is first heard from, and for some seconds after it stops responding', async () => {
 	const {members, time, stopper} = await runFleet(2, {durationMs: 0});
-	expect(members[0]!.gossip.listSilent()).toEqual(['e1']);
+	expect(members[0]!.gossip.listUnresponsive()).toEqual(['e1']);
 	await time.runUntil(1000);
-	expect(members[0]!.gossip.listSilent()).toEqual([]);
+	expect(members[0]!.gossip.listUnresponsive()).toEqual([]);
 	members[1]!.state.isPartitioned = true;
 	await time.runUntil(3500);
-	expect(members[0]!.gossip.listSilent()).toEqual(['e1']);
+	expect(members[0]!.gossip.listUnresponsive()).toEqual(['e1']);
 	await time.runUntil(13_000);
-	expect(members[0]!.gossip.listSilent()).toEqual([]);
+	expect(members[0]!.gossip.listUnresponsive()).toEqual([]);
 	stopper.abort();
 });
 
 test('prompts are sent to the gateways that receive the entry', async () => {
 	const {members, time, stopper} = await runFleet(4, {durationMs: 1000});
 	const prompt: PlacedPrompt = {upstream: 'u', memory: 1000, parts: [{id: 'a', tokens: 10}]};
-	members[0]!.gossip.notePrompt(prompt);
+	members[0]!.gossip.announcePrompt(prompt);
 	await time.runUntil(1060);
 	expect(members.slice(1).map(({state}) => state.prompts.map(({upstream}) => upstream))).toEqual([['u'], ['u'], ['u']]);
 	stopper.abort();
@@ -154,8 +154,8 @@
 // Guards against a process that exits because of a datagram from another version.
 test('malformed messages are ignored', async () => {
 	const {members, stopper} = await runFleet(2, {durationMs: 1000});
-	members[0]!.gossip.take(new Uint8Array([255, 255, 255]));
-	members[0]!.gossip.take(new Uint8Array(0));
+	members[0]!.gossip.handleMessage(new Uint8Array([255, 255, 255]));
+	members[0]!.gossip.handleMessage(new Uint8Array(0));
 	expect(members[0]!.views.list()).toHaveLength(1);
 	stopper.abort();
 });
--- a/src/coordination/peer-news.ts
+++ b/src/coordination/gossip.ts
@@ -16,26 +16,26 @@
 import type {Clock} from '../transport/mod.js';
 import {
 	decodeEntry, decodeGossip, encodeEntry, encodeGossip,
-} from './news-codec.js';
-import {computeGossipRate, fanOut, type GossipRate} from './news-rate.js';
+} from './gossip-codec.js';
+import {computeGossipRate, fanOut, type GossipRate} from './gossip-rate.js';
 
 /** A gateway that receives gossip. */
-export type NewsPeer = {
+export type GossipPeer = {
 	readonly daemon: string;
 	/** Where it receives datagrams: IP address and port. */
 	readonly newsAddress: string;
 };
 
-/** Options of {@linkcode createPeerNews}. */
+/** Options of {@linkcode createGossip}. */
 export type CreateGossipOptions = {
 	readonly clock: Clock;
 	readonly events: EventLog;
 	readonly daemon: string;
 	readonly views: PeerViews;
 	/** Lists the gateways recorded in the log of grants, except this one. */
-	readonly listPeers: () => readonly NewsPeer[];
+	readonly listPeers: () => readonly GossipPeer[];
 	/** Returns the current state of this gateway. */
-	readonly readOwn: () => PeerView;
+	readonly getOwnView: () => PeerView;
 	readonly send: (message: Uint8Array, addresses: readonly string[]) => void;
 	/** Called with each view received. */
 	readonly onView: (view: PeerView) => void;
@@ -46,7 +46,7 @@
 };
 
 /** Gossip between gateways. */
-export type Gossip = ReturnType<typeof createPeerNews>;
+export type Gossip = ReturnType<typeof createGossip>;
 
 /** Size up to which a datagram is filled with entries of other gateways; below the usual packet size. */
 const targetDatagramBytes = 1300;
@@ -70,7 +70,7 @@
  * @param options The peers and the callbacks that receive their views
  * @returns The gossip
  */
-export function createPeerNews(options: CreateGossipOptions) {
+export function createGossip(options: CreateGossipOptions) {
 	const {
 		clock, events, views, daemon,
 	} = options;
@@ -79,7 +79,7 @@
 	/** Entries to forward, by gateway; the one that has waited longest comes first. */
 	const pendingEntries = new Map<string, PeerEntry>();
 	const pendingPrompts: PlacedPrompt[] = [];
-	let peerRotation: NewsPeer[] = [];
+	let peerRotation: GossipPeer[] = [];
 	let sequence = 0;
 	let ownEntryBuiltAt = Number.NEGATIVE_INFINITY;
 	let hasChanged = false;
@@ -135,7 +135,7 @@
 		sequence += 1;
 		ownEntryBuiltAt = clock.now();
 		hasChanged = false;
-		return encodeEntry(options.readOwn(), {sequence, shouldIncludeFreeTokens: sequence % freeTokensEntryInterval === 1});
+		return encodeEntry(options.getOwnView(), {sequence, shouldIncludeFreeTokens: sequence % freeTokensEntryInterval === 1});
 	}
 
 	function takePendingEntries(capacityBytes: number): PeerEntry[] {
@@ -155,7 +155,7 @@
 	}
 
 	// Shuffled round robin: sends to every peer once before the order is drawn again.
-	function selectReceivers(): NewsPeer[] {
+	function selectReceivers(): GossipPeer[] {
 		const peers = options.listPeers();
 		if (peers.length <= fanOut) {
 			return [...peers];
@@ -180,7 +180,7 @@
 
 	return {
 		/** Handles a message received from another gateway. */
-		take(message: Uint8Array): void {
+		handleMessage(message: Uint8Array): void {
 			const decoded = decodeGossip(message);
 			if (decoded.err) {
 				events.write('peerNewsUnreadable', {detail: decoded.val.detail});
@@ -197,18 +197,18 @@
 		},
 
 		/** Marks the state of this gateway as changed since its last entry, so that the next entry is sent sooner. */
-		noteChange(): void {
+		markChanged(): void {
 			hasChanged = true;
 		},
 
 		/** Queues a prompt that this gateway has placed, to be sent with its next entry. */
-		notePrompt(prompt: PlacedPrompt): void {
+		announcePrompt(prompt: PlacedPrompt): void {
 			pendingPrompts.push(prompt);
 			hasChanged = true;
 		},
 
 		/** Returns the gateways recorded in the log that are unresponsive, or have not been heard from yet, but are not presumed failed. */
-		listSilent(): string[] {
+		listUnresponsive(): string[] {
 			return options.listPeers().map(peer => peer.daemon).filter(peer => !views.has(peer) && computeMsSinceHeard(peer) < failureTimeoutMs);
 		},
 
--- a/src/coordination/peer-catch-up.test.ts
+++ b/src/coordination/peer-catch-up.test.ts
@@ -2,7 +2,7 @@
 import {expect, test} from 'vitest';
 import type {EventLog} from '../protocol/mod.js';
 import type {PeerView} from '../state/mod.js';
-import {createPeerCatchUp, type CatchUpAsk} from './mod.js';
+import {createPeerCatchUp, type CatchUpQuery} from './mod.js';
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
 
@@ -19,12 +19,12 @@
 }
 
 function createFixture() {
-	const queries: Array<CatchUpAsk & {readonly address: string}> = [];
+	const queries: Array<CatchUpQuery & {readonly address: string}> = [];
 	const state = {version: 0, abandoned: 0, isUnresponsive: false};
 	const catchUp = createPeerCatchUp({
 		clock: {now: () => 0, sleep: async () => undefined}, events,
 		findVersion: () => state.version,
-		async ask(address, query) {
+		async queryPeer(address, query) {
 			queries.push({address, ...query});
 			if (state.isUnresponsive) {
 				throw new Error('Peer did not respond');
@@ -36,8 +36,8 @@
 			state.version = Number(record);
 		},
 		onPrompt: () => undefined,
-		onCrashes: () => undefined,
-		abandon() {
+		onCrashRecord: () => undefined,
+		abandonConnection() {
 			state.abandoned += 1;
 		},
 	});
@@ -47,11 +47,11 @@
 test('a starting gateway queries one peer for the deployment and prompts', async () => {
 	const {state, queries, catchUp} = createFixture();
 	for (const daemon of ['e1', 'e2', 'e3']) {
-		catchUp.note(buildView(daemon, 7));
+		catchUp.handleView(buildView(daemon, 7));
 	}
 
 	await flushTasks();
-	catchUp.note(buildView('e2', 7));
+	catchUp.handleView(buildView('e2', 7));
 	await flushTasks();
 	expect(queries).toEqual([{address: 'e1:1', knownVersion: 0, wantsPrompts: true}]);
 	expect(state.version).toBe(7);
@@ -61,10 +61,10 @@
 test('a newer deployment is fetched from the peer that advertises it', async () => {
 	const {state, queries, catchUp} = createFixture();
 	state.version = 6;
-	catchUp.note(buildView('e1', 6));
+	catchUp.handleView(buildView('e1', 6));
 	await flushTasks();
 	state.version = 6;
-	catchUp.note(buildView('e2', 7));
+	catchUp.handleView(buildView('e2', 7));
 	await flushTasks();
 	expect(queries.map(({address, wantsPrompts}) => [address, wantsPrompts])).toEqual([['e1:1', true], ['e2:1', false]]);
 	expect(state.version).toBe(7);
@@ -73,11 +73,11 @@
 test('the connection to an unresponsive peer is abandoned, and the next peer is queried', async () => {
 	const {state, queries, catchUp} = createFixture();
 	state.isUnresponsive = true;
-	catchUp.note(buildView('e1', 7));
+	catchUp.handleView(buildView('e1', 7));
 	await flushTasks();
 	expect(state.abandoned).toBe(1);
 	state.isUnresponsive = false;
-	catchUp.note(buildView('e2', 7));
+	catchUp.handleView(buildView('e2', 7));
 	await flushTasks();
 	expect(queries.at(-1)?.address).toBe('e2:1');
 	expect(state.version).toBe(7);
--- a/src/coordination/peer-catch-up.ts
+++ b/src/coordination/peer-catch-up.ts
@@ -10,7 +10,7 @@
 import type {Clock} from '../transport/mod.js';
 
 /** Query to a peer. */
-export type CatchUpAsk = {readonly knownVersion: number; readonly wantsPrompts: boolean};
+export type CatchUpQuery = {readonly knownVersion: number; readonly wantsPrompts: boolean};
 
 /** Answer of a peer. */
 export type CatchUpAnswer = {
@@ -27,13 +27,13 @@
 	/** Returns the version of the deployment in force at this gateway; 0 before the first. */
 	readonly findVersion: () => number;
 	/** Queries one peer; throws if it does not respond. */
-	readonly ask: (address: string, query: CatchUpAsk) => Promise<CatchUpAnswer>;
+	readonly queryPeer: (address: string, query: CatchUpQuery) => Promise<CatchUpAnswer>;
 	/** Called with the record of a newer deployment. */
 	readonly onDeployment: (record: string, peer: string) => void;
 	readonly onPrompt: (prompt: PlacedPrompt) => void;
-	readonly onCrashes: (record: CrashRecord) => void;
+	readonly onCrashRecord: (record: CrashRecord) => void;
 	/** Abandons the connection to a peer that does not respond. */
-	readonly abandon: (address: string) => void;
+	readonly abandonConnection: (address: string) => void;
 };
 
 /** Fetches state that a gateway lacks from its peers. */
@@ -48,7 +48,7 @@
  * @example
  * ```ts
  * const catchUp = createPeerCatchUp(options);
- * catchUp.note(view);
+ * catchUp.handleView(view);
  * ```
  *
  * @param options The function that queries a peer and the callbacks that receive the answers
@@ -61,14 +61,14 @@
 
 	async function fetchFrom({address, daemon}: PeerView): Promise<void> {
 		try {
-			const answer = await options.ask(address, {knownVersion: findVersion(), wantsPrompts});
+			const answer = await options.queryPeer(address, {knownVersion: findVersion(), wantsPrompts});
 			wantsPrompts = false;
 			for (const prompt of answer.prompts) {
 				options.onPrompt(prompt);
 			}
 
 			for (const record of answer.crashes) {
-				options.onCrashes(record);
+				options.onCrashRecord(record);
 			}
 
 			if (answer.deployment.length > 0) {
@@ -76,7 +76,7 @@
 			}
 		} catch (error) {
 			events.write('peerSuspected', {peer: daemon, detail: (error as Error).message});
-			options.abandon(address);
+			options.abandonConnection(address);
 		}
 	}
 
@@ -92,7 +92,7 @@
 
 	return {
 		/** Handles the view that a peer advertises, and queries the peer if it may have state that this gateway lacks. */
-		note(view: PeerView): void {
+		handleView(view: PeerView): void {
 			if (!isQuerying && (wantsPrompts || view.version > findVersion())) {
 				void catchUp(view);
 			}
--- a/src/coordination/placement-gossip.test.ts
+++ b/src/coordination/placement-gossip.test.ts
@@ -3,7 +3,7 @@
 import type {EventLog, GatewayService, GenerationParameters} from '../protocol/mod.js';
 import {createPeerViews, createUpstreamDirectory} from '../state/mod.js';
 import {
-	createPeerCatchUp, createPeerNews, createUpstreamRegistry, type UpstreamRegistry,
+	createPeerCatchUp, createGossip, createUpstreamRegistry, type UpstreamRegistry,
 } from './mod.js';
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
@@ -26,21 +26,21 @@
 	const registry: UpstreamRegistry = createUpstreamRegistry({
 		directory, clock: time, failureDomain: 'd', sumPeerUse: views.sumUse,
 		onUseChange() {
-			gossip.noteChange();
+			gossip.markChanged();
 		},
 		onPromptPlaced(prompt) {
-			gossip.notePrompt(prompt);
+			gossip.announcePrompt(prompt);
 		},
 	});
-	const gossip = createPeerNews({
+	const gossip = createGossip({
 		clock: time, events, daemon, views, random: () => 0.5,
 		listPeers: () => gateways.filter(gateway => gateway.daemon !== daemon).map(gateway => ({daemon: gateway.daemon, newsAddress: gateway.daemon})),
-		readOwn: () => ({
+		getOwnView: () => ({
 			daemon, incarnation: 'i', address: daemon, free: [], uses: registry.listUses(), version: 1, isLeaving: false, crashes: [],
 		}),
 		send(message) {
 			counts.datagrams += 1;
-			gateways.find(gateway => gateway.daemon !== daemon)!.gossip.take(message);
+			gateways.find(gateway => gateway.daemon !== daemon)!.gossip.handleMessage(message);
 		},
 		onView: () => undefined,
 		onPrompt: registry.recordPeerPrompt,
@@ -90,13 +90,13 @@
 	sender.registry.trackRequest('u1', request).end();
 	const catchUp = createPeerCatchUp({
 		clock: time, events, findVersion: () => 1,
-		ask: async () => ({deployment: new Uint8Array(), prompts: sender.registry.listCachedPrompts(), crashes: []}),
+		queryPeer: async () => ({deployment: new Uint8Array(), prompts: sender.registry.listCachedPrompts(), crashes: []}),
 		onDeployment: () => undefined,
 		onPrompt: receiver.registry.recordPeerPrompt,
-		onCrashes: () => undefined,
-		abandon: () => undefined,
+		onCrashRecord: () => undefined,
+		abandonConnection: () => undefined,
 	});
-	catchUp.note({
+	catchUp.handleView({
 		daemon: 'sender', incarnation: 'i', address: 'sender', free: [], uses: [], version: 1, isLeaving: false, crashes: [],
 	});
 	await time.runUntil(200);
--- a/src/coordination/quarantine-recorder.test.ts
+++ b/src/coordination/quarantine-recorder.test.ts
@@ -13,20 +13,20 @@
 	const stopper = new AbortController();
 	const crashRegistry = createCrashRegistry();
 	const quarantine = createQuarantine({
-		book: crashRegistry, daemon, listPeers: () => peers, clock: time, events,
+		crashRegistry, daemon, listPeers: () => peers, clock: time, events,
 		onChange: () => undefined,
 		onCrash(digest) {
-			recorder.noteCrash(digest);
+			recorder.recordCrash(digest);
 		},
 	});
 	const recorder = createQuarantineRecorder({
-		log: log.open(), book: crashRegistry, quarantine, daemon, listPeers: () => peers, clock: time, events,
+		log: log.open(), crashRegistry, quarantine, daemon, listPeers: () => peers, clock: time, events,
 	});
 	void recorder.run(stopper.signal);
 
 	function crash(digest: string, count: number): void {
 		for (let index = 0; index < count; index += 1) {
-			quarantine.begin(digest).noteCrash('u');
+			quarantine.trackRun(digest).recordCrash('u');
 		}
 	}
 
@@ -72,7 +72,7 @@
 	before.stopper.abort();
 	const after = startGateway();
 	for (const record of before.log.records) {
-		after.recorder.take(record);
+		after.recorder.applyRecord(record);
 	}
 
 	expect(after.quarantine.admit('d1').ok).toBe(false);
@@ -83,7 +83,7 @@
 	const {time, log, stopper, quarantine, crash} = startGateway();
 	crash('d1', 3);
 	await time.runUntil(300);
-	quarantine.begin('d1').noteAnswered();
+	quarantine.trackRun('d1').recordAnswer();
 	await time.runUntil(1000);
 	expect(log.records.at(-1)!.value).toBe('{"round":1,"crashes":0}');
 	await time.runUntil(61_500);
@@ -108,7 +108,7 @@
 	const names = ['g1', 'g2', 'g3'];
 	const fleet = names.map(name => startGateway(name, names.filter(other => other !== name)));
 	for (const {quarantine, time} of fleet) {
-		quarantine.take({digest: 'd1', round: 0, crashes: 3}, 'peer');
+		quarantine.merge({digest: 'd1', round: 0, crashes: 3}, 'peer');
 		await time.runUntil(1000);
 	}
 
--- a/src/coordination/quarantine-recorder.ts
+++ b/src/coordination/quarantine-recorder.ts
@@ -20,8 +20,8 @@
 /** Options of {@linkcode createQuarantineRecorder}. */
 export type CreateQuarantineRecorderOptions = {
 	readonly log: KeyedLog;
-	readonly book: CrashRegistry;
-	readonly quarantine: Pick<Quarantine, 'take'>;
+	readonly crashRegistry: CrashRegistry;
+	readonly quarantine: Pick<Quarantine, 'merge'>;
 	/** This gateway's name. */
 	readonly daemon: string;
 	/** Other gateways that are presumed to be up. */
@@ -72,7 +72,7 @@
  */
 export function createQuarantineRecorder(options: CreateQuarantineRecorderOptions) {
 	const {
-		log, book: crashRegistry, quarantine, daemon, clock, events,
+		log, crashRegistry, quarantine, daemon, clock, events,
 	} = options;
 	/** Latest record of each request in the log. */
 	const loggedRecords = new Map<string, Pick<CrashRecord, 'round' | 'crashes'>>();
@@ -140,7 +140,7 @@
 
 	return {
 		/** Applies a record read from the log; throws if its value is malformed. */
-		take({key, value}: StoredRecord): void {
+		applyRecord({key, value}: StoredRecord): void {
 			const digest = key.slice(keyPrefix.length);
 			if (value === undefined) {
 				loggedRecords.delete(digest);
@@ -149,11 +149,11 @@
 
 			const {round, crashes} = valueSchema.parse(JSON.parse(value));
 			loggedRecords.set(digest, {round, crashes});
-			quarantine.take({digest, round, crashes}, 'log');
+			quarantine.merge({digest, round, crashes}, 'log');
 		},
 
 		/** Writes a request immediately during which this gateway saw a crash. */
-		noteCrash(digest: string): void {
+		recordCrash(digest: string): void {
 			observedDigests.add(digest);
 			pauseController.abort(writeDue);
 		},
--- a/src/coordination/quarantine-soak.test.ts
+++ b/src/coordination/quarantine-soak.test.ts
@@ -7,7 +7,7 @@
 import type {EventLog} from '../protocol/mod.js';
 import {createCrashRegistry, createPeerViews} from '../state/mod.js';
 import {
-	createKeyedFollower, createPeerNews, createQuarantine, createQuarantineRecorder,
+	createKeyedFollower, createGossip, createQuarantine, createQuarantineRecorder,
 } from './mod.js';
 
 // Simulates a fleet in virtual time with the modules that record crashes and distribute them. A request that crashes
@@ -58,19 +58,19 @@
 		const listPeers = () => gateways.map(gateway => gateway.name).filter(other => other !== name);
 		const listPresumedUp = () => listPeers().filter(peer => gossip.isPresumedUp(peer));
 		const quarantine = createQuarantine({
-			book: crashRegistry, daemon: name, listPeers: listPresumedUp, clock: time, events,
+			crashRegistry, daemon: name, listPeers: listPresumedUp, clock: time, events,
 			onChange() {
-				gossip.noteChange();
+				gossip.markChanged();
 			},
 			onCrash(digest) {
-				recorder.noteCrash(digest);
+				recorder.recordCrash(digest);
 			},
 		});
-		const gossip = createPeerNews({
+		const gossip = createGossip({
 			clock: time, events, daemon: name, views, random,
 			listPeers: () => listPeers().map(daemon => ({daemon, newsAddress: daemon})),
-			readOwn: () => ({
-				daemon: name, incarnation: String(incarnation).padStart(6, '0'), address: name, version: 1, isLeaving: false, free: [], uses: [], crashes: quarantine.listNews(),
+			getOwnView: () => ({
+				daemon: name, incarnation: String(incarnation).padStart(6, '0'), address: name, version: 1, isLeaving: false, free: [], uses: [], crashes: quarantine.listRecent(),
 			}),
 			send(message, addresses) {
 				for (const address of addresses) {
@@ -79,18 +79,18 @@
 			},
 			onView(view) {
 				for (const record of view.crashes) {
-					quarantine.take(record, 'peer');
+					quarantine.merge(record, 'peer');
 				}
 			},
 			onPrompt: () => undefined,
 		});
 		const recorder = createQuarantineRecorder({
-			log: log.open(), book: crashRegistry, quarantine, daemon: name, listPeers: listPresumedUp, clock: time, events,
+			log: log.open(), crashRegistry, quarantine, daemon: name, listPeers: listPresumedUp, clock: time, events,
 		});
 		const follower = createKeyedFollower({
 			log: log.open(), clock: time, events, longPollMs: 0, readIntervalMs: logReadIntervalMs,
 			onRecord(record) {
-				recorder.take(record);
+				recorder.applyRecord(record);
 			},
 		});
 		void gossip.run(stopper.signal);
@@ -104,7 +104,7 @@
 		const sender = gateways.find(({name}) => name === from)!;
 		const receiver = gateways.find(({name}) => name === to)!;
 		if (!sender.isPartitioned && !receiver.isPartitioned && random() >= lossRate) {
-			receiver.process?.gossip.take(message);
+			receiver.process?.gossip.handleMessage(message);
 		}
 	}
 
@@ -161,7 +161,7 @@
 
 			const upstream = up[Math.floor(random() * up.length)]!;
 			const {incarnation} = upstream;
-			const run = quarantine.begin(digest);
+			const run = quarantine.trackRun(digest);
 			result.arrivals.push({at: time.now(), wasStable: fleet.isStable(gateway)});
 			await time.sleep(runDurationMs);
 			if (isPoison && upstream.incarnation === incarnation) {
@@ -170,12 +170,12 @@
 			}
 
 			if (upstream.incarnation === incarnation) {
-				run.noteAnswered();
+				run.recordAnswer();
 				return;
 			}
 
-			run.noteCrash(`u${incarnation}`);
-			if (!quarantine.maySendOn(digest)) {
+			run.recordCrash(`u${incarnation}`);
+			if (!quarantine.mayRetry(digest)) {
 				return;
 			}
 		}
--- a/src/coordination/quarantine.test.ts
+++ b/src/coordination/quarantine.test.ts
@@ -10,7 +10,7 @@
 function createFixture(daemon = trialOrder[0]!) {
 	const state = {now: 0, changes: 0, logged: [] as unknown[]};
 	const quarantine = createQuarantine({
-		book: createCrashRegistry(), daemon, listPeers: () => gateways.filter(name => name !== daemon),
+		crashRegistry: createCrashRegistry(), daemon, listPeers: () => gateways.filter(name => name !== daemon),
 		clock: {now: () => state.now, sleep: async () => undefined},
 		events: {
 			write(_event, fields) {
@@ -26,7 +26,7 @@
 
 	function crash(count: number): void {
 		for (let index = 0; index < count; index += 1) {
-			quarantine.begin(digest).noteCrash(`u${index}`);
+			quarantine.trackRun(digest).recordCrash(`u${index}`);
 		}
 	}
 
@@ -48,7 +48,7 @@
 	const {quarantine, crash} = createFixture();
 	for (let round = 0; round < 10; round += 1) {
 		crash(2);
-		quarantine.begin(digest).noteAnswered();
+		quarantine.trackRun(digest).recordAnswer();
 	}
 
 	expect(quarantine.admit(digest).ok).toBe(true);
@@ -58,9 +58,9 @@
 // Guards against holding back a request that many callers send when all upstreams of a service crash at the same time.
 test('simultaneous crashes count once', () => {
 	const {quarantine} = createFixture();
-	const runs = Array.from({length: 20}, () => quarantine.begin(digest));
+	const runs = Array.from({length: 20}, () => quarantine.trackRun(digest));
 	for (const run of runs) {
-		run.noteCrash('u1');
+		run.recordCrash('u1');
 	}
 
 	expect(quarantine.listHeld()).toEqual([]);
@@ -69,18 +69,18 @@
 
 test('an answer to a run that began before its request was held back releases the request', () => {
 	const {quarantine, crash} = createFixture();
-	const early = quarantine.begin(digest);
+	const early = quarantine.trackRun(digest);
 	crash(3);
-	early.noteAnswered();
+	early.recordAnswer();
 	expect(quarantine.admit(digest).ok).toBe(true);
 });
 
 test('after two crashes a request is not retried at another upstream', () => {
 	const {quarantine, crash} = createFixture();
 	crash(1);
-	expect([quarantine.maySendOn(digest), quarantine.isSuspected(digest)]).toEqual([true, false]);
+	expect([quarantine.mayRetry(digest), quarantine.isSuspected(digest)]).toEqual([true, false]);
 	crash(1);
-	expect([quarantine.maySendOn(digest), quarantine.isSuspected(digest)]).toEqual([false, true]);
+	expect([quarantine.mayRetry(digest), quarantine.isSuspected(digest)]).toEqual([false, true]);
 });
 
 // Guards against refusing a request forever that would succeed by now, and against one more crash per gateway that tries it.
@@ -88,18 +88,18 @@
 	const {state, quarantine, crash} = createFixture();
 	const second = createFixture(trialOrder[1]);
 	crash(3);
-	second.quarantine.take(quarantine.listNews()[0]!, 'peer');
+	second.quarantine.merge(quarantine.listRecent()[0]!, 'peer');
 	state.now = 30_000;
 	second.state.now = 30_000;
 	expect(second.quarantine.admit(digest).ok).toBe(false);
 	expect(quarantine.admit(digest).ok).toBe(true);
 	expect(quarantine.admit(digest).ok).toBe(false);
-	quarantine.begin(digest).noteCrash('u4');
+	quarantine.trackRun(digest).recordCrash('u4');
 	state.now += 59_999;
 	expect(quarantine.admit(digest).ok).toBe(false);
 	state.now += 1;
 	expect(quarantine.admit(digest).ok).toBe(true);
-	quarantine.begin(digest).noteAnswered();
+	quarantine.trackRun(digest).recordAnswer();
 	expect(quarantine.admit(digest).ok).toBe(true);
 });
 
@@ -116,8 +116,8 @@
 	const sender = createFixture();
 	const receiver = createFixture(trialOrder[1]);
 	const sendGossip = () => {
-		for (const record of sender.quarantine.listNews()) {
-			receiver.quarantine.take(record, 'peer');
+		for (const record of sender.quarantine.listRecent()) {
+			receiver.quarantine.merge(record, 'peer');
 		}
 	};
 
@@ -127,7 +127,7 @@
 	const {changes} = receiver.state;
 	sendGossip();
 	expect(receiver.state.changes).toBe(changes);
-	sender.quarantine.begin(digest).noteAnswered();
+	sender.quarantine.trackRun(digest).recordAnswer();
 	sendGossip();
 	expect(receiver.quarantine.admit(digest).ok).toBe(true);
 });
@@ -136,7 +136,7 @@
 test('crashes seen by other gateways are logged only when the request becomes held or is released', () => {
 	const {state, quarantine} = createFixture();
 	for (const record of [{round: 0, crashes: 1}, {round: 0, crashes: 2}, {round: 0, crashes: 3}, {round: 1, crashes: 0}]) {
-		quarantine.take({digest, ...record}, 'peer');
+		quarantine.merge({digest, ...record}, 'peer');
 	}
 
 	expect(state.logged).toEqual(['peer', 'peer']);
@@ -147,9 +147,9 @@
 	const {state, quarantine, crash} = createFixture();
 	crash(1);
 	state.now = 9999;
-	expect(quarantine.listNews()).toHaveLength(1);
+	expect(quarantine.listRecent()).toHaveLength(1);
 	state.now = 10_000;
-	expect(quarantine.listNews()).toEqual([]);
+	expect(quarantine.listRecent()).toEqual([]);
 	expect(quarantine.listAll()).toHaveLength(1);
 });
 
@@ -169,10 +169,10 @@
 	const {quarantine, crash} = createFixture();
 	crash(3);
 	for (let index = 0; index < 40; index += 1) {
-		quarantine.begin(`varied-${index}`).noteCrash('u1');
+		quarantine.trackRun(`varied-${index}`).recordCrash('u1');
 	}
 
-	const records: CrashRecord[] = quarantine.listNews();
+	const records: CrashRecord[] = quarantine.listRecent();
 	expect(records).toHaveLength(12);
 	expect(records[0]!.digest).toBe(digest);
 });
--- a/src/coordination/quarantine.ts
+++ b/src/coordination/quarantine.ts
@@ -24,7 +24,7 @@
 
 /** Options of {@linkcode createQuarantine}. */
 export type CreateQuarantineOptions = {
-	readonly book: CrashRegistry;
+	readonly crashRegistry: CrashRegistry;
 	/** This gateway's name. */
 	readonly daemon: string;
 	/** Other gateways that are presumed to be up. */
@@ -40,9 +40,9 @@
 /** One run of a request at an upstream. */
 export type QuarantineRun = {
 	/** Records that the upstream's process ended during the run. */
-	readonly noteCrash: (upstream: string) => void;
+	readonly recordCrash: (upstream: string) => void;
 	/** Records that the run returned a complete answer. */
-	readonly noteAnswered: () => void;
+	readonly recordAnswer: () => void;
 };
 
 /** A held request, as shown to operators. */
@@ -81,8 +81,8 @@
  * ```ts
  * const admitted = quarantine.admit(digest);
  * if (admitted.ok) {
- * 	const run = quarantine.begin(digest);
- * 	run.noteAnswered();
+ * 	const run = quarantine.trackRun(digest);
+ * 	run.recordAnswer();
  * }
  * ```
  *
@@ -91,7 +91,7 @@
  */
 export function createQuarantine(options: CreateQuarantineOptions) {
 	const {
-		book: crashRegistry, daemon, clock, events, onChange,
+		crashRegistry, daemon, clock, events, onChange,
 	} = options;
 
 	const isHeld = (digest: string): boolean => crashRegistry.count(digest) >= crashesToHold;
@@ -136,22 +136,22 @@
 		},
 
 		/** Returns true if a request whose run was interrupted may be retried at another upstream. */
-		maySendOn: (digest: string): boolean => crashRegistry.count(digest) < crashesToSuspect,
+		mayRetry: (digest: string): boolean => crashRegistry.count(digest) < crashesToSuspect,
 
 		/** Returns true if a request is likely to crash upstreams. A single crash is not enough, because it also hits requests that did not cause it. */
 		isSuspected: (digest: string): boolean => crashRegistry.count(digest) >= crashesToSuspect,
 
 		/** Starts tracking a run; the request ID is only used in log events. */
-		begin(digest: string, request?: string): QuarantineRun {
+		trackRun(digest: string, request?: string): QuarantineRun {
 			const recordAtStart = crashRegistry.get(digest);
 			return {
-				noteCrash(upstream) {
+				recordCrash(upstream) {
 					if (crashRegistry.recordCrash(digest, {before: recordAtStart, now: clock.now()})) {
 						reportChange(crashRegistry.get(digest), 'crash', {request, upstream});
 						options.onCrash(digest);
 					}
 				},
-				noteAnswered() {
+				recordAnswer() {
 					if (crashRegistry.recordAnswer(digest, clock.now())) {
 						reportChange(crashRegistry.get(digest), 'answered', {request});
 					}
@@ -160,7 +160,7 @@
 		},
 
 		/** Merges a record received from another gateway or read from the log. */
-		take(record: CrashRecord, source: string): void {
+		merge(record: CrashRecord, source: string): void {
 			const wasHeld = isHeld(record.digest);
 			if (!crashRegistry.merge(record, clock.now())) {
 				return;
@@ -175,7 +175,7 @@
 		},
 
 		/** Returns the recently changed records, to be included in the next gossip entry. */
-		listNews(): CrashRecord[] {
+		listRecent(): CrashRecord[] {
 			const now = clock.now();
 			return crashRegistry.isEmpty() ? [] : crashRegistry.list().filter(({changedAt}) => now - changedAt < gossipPeriodMs).slice(0, maxGossipRecords);
 		},
--- a/src/coordination/request-forwarder.test.ts
+++ b/src/coordination/request-forwarder.test.ts
@@ -44,7 +44,7 @@
 
 	const crashed = new Set<string>();
 	const quarantine = createQuarantine({
-		book: createCrashRegistry(), daemon: 'g', listPeers: () => [], clock, events, onChange: () => undefined, onCrash: () => undefined,
+		crashRegistry: createCrashRegistry(), daemon: 'g', listPeers: () => [], clock, events, onChange: () => undefined, onCrash: () => undefined,
 	});
 	const calls: UpstreamCall[] = [];
 	const received = {
--- a/src/coordination/request-forwarder.ts
+++ b/src/coordination/request-forwarder.ts
@@ -32,7 +32,7 @@
 	readonly registry: UpstreamRegistry;
 	/** Returns the retry budget of a service. */
 	readonly findRetryBudget: (service: string) => RetryBudget;
-	readonly quarantine: Pick<Quarantine, 'begin' | 'isSuspected' | 'maySendOn'>;
+	readonly quarantine: Pick<Quarantine, 'trackRun' | 'isSuspected' | 'mayRetry'>;
 	readonly crashDetector: CrashDetector;
 	readonly clock: Clock;
 	readonly events: EventLog;
@@ -189,7 +189,7 @@
 		}
 
 		const tracker = registry.trackRequest(id, request);
-		const trackedRun = quarantine.begin(request.digest, request.id);
+		const trackedRun = quarantine.trackRun(request.digest, request.id);
 		const stallTimeout = createStallTimeout(request, relay);
 		const remaining = request.deadline - clock.now();
 		const timeLimit = createTimeoutSignal(remaining, [request.signal, stallTimeout.signal]);
@@ -214,12 +214,12 @@
 			} else if (outcome.kind === 'failed') {
 				tracker.recordFailure();
 			} else if (outcome.kind === 'complete') {
-				trackedRun.noteAnswered();
+				trackedRun.recordAnswer();
 			}
 
 			// The quarantine must know of the crash before the request is sent to another upstream.
 			if (outcome.kind === 'broken' && outcome.wasConnectionLost && !timeLimit.signal.aborted && await crashDetector.hasCrashed(upstream)) {
-				trackedRun.noteCrash(id);
+				trackedRun.recordCrash(id);
 			}
 
 			return outcome;
@@ -320,7 +320,7 @@
 				events.write('requestRetried', {
 					request: request.id, upstream: id, outcome: outcome.kind, detail,
 				});
-				if (outcome.kind !== 'not-run' && !(relay.canRetry() && quarantine.maySendOn(request.digest))) {
+				if (outcome.kind !== 'not-run' && !(relay.canRetry() && quarantine.mayRetry(request.digest))) {
 					break;
 				}
 			}
--- a/src/coordination/request-router.test.ts
+++ b/src/coordination/request-router.test.ts
@@ -37,7 +37,7 @@
 		retries: createRetryBudget({ratio: 0.2, burst: 10}), clock: time, events, upstreamWaitMs: 1000,
 	});
 	const call: RoutedCall = {
-		requestId: 'r1', isKeyed: false, work: 1, target: 'm', mayRepeat: true, budget: 'b', worstCase: 10, priority: 0, payload: new Uint8Array(), prefix: '', deadline: 60_000, patience: 1000,
+		requestId: 'r1', isKeyed: false, work: 1, target: 'm', mayRepeat: true, budget: 'b', worstCaseTokens: 10, priority: 0, payload: new Uint8Array(), prefix: '', deadline: 60_000, tokenTimeoutMs: 1000,
 		signal: new AbortController().signal,
 	};
 	const stream = router.run(call);
--- a/src/coordination/request-router.ts
+++ b/src/coordination/request-router.ts
@@ -172,7 +172,7 @@
 
 	// A retry with an idempotency key may find too few tokens for a second run, and needs none if its first run is found.
 	async function * sendToMember(call: RoutedCall, member: Readonly<Member>): AsyncGenerator<Uint8Array, Result<SendResult, Failure>> {
-		const first = await attempts.start(call, member, call.isKeyed ? keyedTokenTimeoutMs : call.patience);
+		const first = await attempts.start(call, member, call.isKeyed ? keyedTokenTimeoutMs : call.tokenTimeoutMs);
 		if (first.ok || !call.isKeyed) {
 			return first.err ? first : Ok(yield * runAttempt(first.val));
 		}
--- a/src/daemon/caller-interface.test.ts
+++ b/src/daemon/caller-interface.test.ts
@@ -81,7 +81,7 @@
 	await wait(500);
 	const running = callers.countRunning();
 	const stopped = (async () => {
-		const isIdle = await waitUntilIdle(callers.countRunning, {within: 10_000, clock});
+		const isIdle = await waitUntilIdle(callers.countRunning, {timeoutMs: 10_000, clock});
 		await server.close();
 		return isIdle;
 	})();
--- a/src/daemon/caller-interface.ts
+++ b/src/daemon/caller-interface.ts
@@ -111,12 +111,12 @@
 			target: chat.model,
 			mayRepeat: true,
 			budget: caller.key.budget,
-			worstCase: computeMaxPromptTokens(chat) + maxTokens,
+			worstCaseTokens: computeMaxPromptTokens(chat) + maxTokens,
 			priority: caller.priority,
 			payload,
 			prefix: computeDigest(JSON.stringify(chat.messages).slice(0, prefixCharacters)),
 			deadline: caller.deadline,
-			patience: tokenTimeoutMs,
+			tokenTimeoutMs,
 			signal: caller.signal,
 		});
 	}
@@ -242,12 +242,12 @@
 			target: name,
 			mayRepeat: service.idempotent,
 			budget: caller.key.budget,
-			worstCase: service.cost,
+			worstCaseTokens: service.cost,
 			priority: caller.priority,
 			payload,
 			prefix: '',
 			deadline: caller.deadline,
-			patience: tokenTimeoutMs,
+			tokenTimeoutMs,
 			// A non-idempotent call continues after its caller has disconnected; the caller's retry receives its answer.
 			signal: service.idempotent ? caller.signal : new AbortController().signal,
 		});
--- a/src/daemon/core.ts
+++ b/src/daemon/core.ts
@@ -21,7 +21,7 @@
 	/** Stops gracefully: accepts no new requests, finishes the running ones, and records grants and receipts in the log. */
 	readonly stop: () => Promise<void>;
 	/** Logs the running requests that an immediate exit aborts. */
-	readonly cut: () => void;
+	readonly logAbortedRequests: () => void;
 	/** Resolves when another process has joined under this daemon's name. */
 	readonly superseded: Promise<void>;
 };
--- a/src/daemon/entry-daemon.ts
+++ b/src/daemon/entry-daemon.ts
@@ -108,7 +108,7 @@
 			// The load balancer learns of the stop from `/readyz`. Requests that it sends in the meantime are served as usual.
 			await clock.sleep(leaveNoticeMs);
 			isRefusingNew = true;
-			if (!await waitUntilIdle(() => callerInterface.countRunning() + settler.countOpen(), {within: settings.stopWithin, clock})) {
+			if (!await waitUntilIdle(() => callerInterface.countRunning() + settler.countOpen(), {timeoutMs: settings.stopWithin, clock})) {
 				events.write('requestCut', {running: callerInterface.countRunning()});
 			}
 
@@ -123,7 +123,7 @@
 			await fleetServer.close();
 			await core.close();
 		},
-		cut() {
+		logAbortedRequests() {
 			events.write('requestCut', {running: callerInterface.countRunning()});
 		},
 	};
--- a/src/daemon/gateway-daemon.ts
+++ b/src/daemon/gateway-daemon.ts
@@ -8,9 +8,9 @@
 import process from 'node:process';
 import {
 	createAdmission, createBudgetOwners, createBudgetManager, createCrashDetector, createStorePathTracker, createMetrics,
-	createPeerCatchUp, createPeerNews, createQuarantine, createQuarantineRecorder, createRelayedLog, createRequestForwarder,
+	createPeerCatchUp, createGossip, createQuarantine, createQuarantineRecorder, createRelayedLog, createRequestForwarder,
 	createRetryAfterEstimator, createRetryBudget, createTokenLending, createUpstreamRegistry, monitorEventLoop,
-	type CatchUpAnswer, type CatchUpAsk, type HolderIdentity, type NewsPeer, type ProcessStats, type RetryBudget,
+	type CatchUpAnswer, type CatchUpQuery, type HolderIdentity, type GossipPeer, type ProcessStats, type RetryBudget,
 } from '../coordination/mod.js';
 import {
 	Gateway, Relay, createId, type EventLog, type GatewaySettings, type KeyedLog,
@@ -112,7 +112,7 @@
 			budgetManager.applyOwnRecord(record);
 		},
 		onQuarantineRecord(record) {
-			quarantineRecorder.take(record);
+			quarantineRecorder.applyRecord(record);
 		},
 	});
 	const {account, grantRegistry, directory, findRouteTable} = state;
@@ -120,10 +120,10 @@
 	const upstreamRegistry = createUpstreamRegistry({
 		directory, clock, failureDomain: settings.failureDomain, getViewAgeMs: state.computeViewAgeMs, sumPeerUse: peerViews.sumUse,
 		onUseChange() {
-			gossip.noteChange();
+			gossip.markChanged();
 		},
 		onPromptPlaced(prompt) {
-			gossip.notePrompt(prompt);
+			gossip.announcePrompt(prompt);
 		},
 	});
 
@@ -135,7 +135,7 @@
 		return [...holders.map(({address}) => address), ...settings.seeds.filter(address => address !== self.address)];
 	}
 
-	function listPeers(): NewsPeer[] {
+	function listPeers(): GossipPeer[] {
 		return grantRegistry.listRunning().flatMap(({role, daemon, newsAddress}) => role === 'gateway' && daemon !== self.daemon && newsAddress !== undefined ? [{daemon, newsAddress}] : []);
 	}
 
@@ -160,11 +160,11 @@
 			uses: upstreamRegistry.listUses(),
 			version: getDeploymentVersion(),
 			isLeaving: stopWindow.hasBegun(),
-			crashes: quarantine.listNews(),
+			crashes: quarantine.listRecent(),
 		};
 	}
 
-	function handleCatchUp({knownVersion, wantsPrompts}: CatchUpAsk): CatchUpAnswer {
+	function handleCatchUp({knownVersion, wantsPrompts}: CatchUpQuery): CatchUpAnswer {
 		return {
 			deployment: knownVersion < getDeploymentVersion() ? new TextEncoder().encode(state.getDeploymentRecord()) : new Uint8Array(),
 			prompts: wantsPrompts ? upstreamRegistry.listCachedPrompts() : [],
@@ -182,27 +182,27 @@
 	const retryAfterEstimator = createRetryAfterEstimator({clock, findMaxStopMs: computeStopDurationMs});
 	const catchUp = createPeerCatchUp({
 		clock, events, findVersion: getDeploymentVersion,
-		ask: async (address, ask) => fleet.connect(address).gateway.catchUp(ask, {timeoutMs: peerTimeoutMs}),
+		queryPeer: async (address, ask) => fleet.connect(address).gateway.catchUp(ask, {timeoutMs: peerTimeoutMs}),
 		onDeployment: state.adoptFromPeer,
 		onPrompt: upstreamRegistry.recordPeerPrompt,
-		onCrashes(record) {
-			quarantine.take(record, 'peer');
+		onCrashRecord(record) {
+			quarantine.merge(record, 'peer');
 		},
-		abandon(address) {
+		abandonConnection(address) {
 			fleet.connect(address).abandon();
 		},
 	});
-	const gossip = createPeerNews({
+	const gossip = createGossip({
 		clock, events, daemon: self.daemon, views: peerViews, listPeers,
-		readOwn: buildView,
+		getOwnView: buildView,
 		send(message, addresses) {
 			gossipSocket.send(message, addresses);
 		},
 		onView(view) {
 			retryAfterEstimator.recordView(view);
-			catchUp.note(view);
+			catchUp.handleView(view);
 			for (const record of view.crashes) {
-				quarantine.take(record, 'peer');
+				quarantine.merge(record, 'peer');
 			}
 		},
 		onPrompt: upstreamRegistry.recordPeerPrompt,
@@ -212,16 +212,16 @@
 	const owners = createBudgetOwners({clock, daemon: self.daemon, listPeers: listPresumedUpPeers});
 	const crashRegistry = createCrashRegistry();
 	const quarantine = createQuarantine({
-		book: crashRegistry, daemon: self.daemon, listPeers: listPresumedUpPeers, clock, events,
+		crashRegistry, daemon: self.daemon, listPeers: listPresumedUpPeers, clock, events,
 		onChange() {
-			gossip.noteChange();
+			gossip.markChanged();
 		},
 		onCrash(digest) {
-			quarantineRecorder.noteCrash(digest);
+			quarantineRecorder.recordCrash(digest);
 		},
 	});
 	const quarantineRecorder = createQuarantineRecorder({
-		log: logs.grants, book: crashRegistry, quarantine, daemon: self.daemon, listPeers: listPresumedUpPeers, clock, events,
+		log: logs.grants, crashRegistry, quarantine, daemon: self.daemon, listPeers: listPresumedUpPeers, clock, events,
 	});
 	const lending = createTokenLending({
 		daemon: self.daemon, account, events, clock,
@@ -232,7 +232,7 @@
 			budgetManager.recordLent(customer, amount);
 		},
 		listViews: peerViews.list,
-		listUnresponsive: gossip.listSilent,
+		listUnresponsive: gossip.listUnresponsive,
 		countWanted: customer => budgetManager.countWanted(customer),
 		async requestLoan(address, request) {
 			const {tokens} = await fleet.connect(address).gateway.lend(request, {timeoutMs: peerTimeoutMs});
@@ -316,7 +316,7 @@
 	});
 	const gossipSocket = await openDatagramSocket(settings.listen.news, {
 		fleetKey: settings.fleetKey,
-		onMessage: gossip.take,
+		onMessage: gossip.handleMessage,
 		onUnauthenticated() {
 			events.write('peerRefused');
 		},
@@ -355,12 +355,12 @@
 		async stop() {
 			events.write('daemonStopping', {running: callerInterface.countRunning()});
 			stopWindow.begin(computeStopDurationMs());
-			gossip.noteChange();
+			gossip.markChanged();
 			callerServer.requestConnectionClose();
 			await clock.sleep(stopNoticeMs);
 			const connections = callerServer.drain();
 			events.write('daemonDraining', {stoppingMs: Math.round(stopWindow.computeElapsedMs()!), running: callerInterface.countRunning(), connections});
-			if (!await waitUntilIdle(callerInterface.countRunning, {within: stopWindow.computeRemainingMs(), clock})) {
+			if (!await waitUntilIdle(callerInterface.countRunning, {timeoutMs: stopWindow.computeRemainingMs(), clock})) {
 				events.write('requestCut', callerInterface.describeRunning());
 			}
 
@@ -377,7 +377,7 @@
 			await adapter.close();
 			events.write('daemonStopped');
 		},
-		cut() {
+		logAbortedRequests() {
 			events.write('requestCut', callerInterface.describeRunning());
 		},
 	};
--- a/src/daemon/gateway-peer-interface.ts
+++ b/src/daemon/gateway-peer-interface.ts
@@ -4,12 +4,12 @@
  * @module
  */
 import type {ServiceImpl} from '@connectrpc/connect';
-import type {CatchUpAnswer, CatchUpAsk, TokenLoanRequest} from '../coordination/mod.js';
+import type {CatchUpAnswer, CatchUpQuery, TokenLoanRequest} from '../coordination/mod.js';
 import type {Gateway} from '../protocol/mod.js';
 
 /** Options of {@linkcode createGatewayPeerInterface}. */
 export type CreateGatewayPeerInterfaceOptions = {
-	readonly handleCatchUp: (request: CatchUpAsk) => CatchUpAnswer;
+	readonly handleCatchUp: (request: CatchUpQuery) => CatchUpAnswer;
 	readonly lend: (request: TokenLoanRequest) => Promise<number>;
 };
 
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -68,7 +68,7 @@
 
 	const stopOrAbort = async () => {
 		if (isStopping) {
-			daemon.cut();
+			daemon.logAbortedRequests();
 			process.exit(abortExitCode); // eslint-disable-line unicorn/no-process-exit
 		}
 
--- a/src/daemon/peer-interface.ts
+++ b/src/daemon/peer-interface.ts
@@ -8,7 +8,7 @@
 import type {Peer} from '../protocol/mod.js';
 
 /** Returns the load that is reported to peers. */
-export type TellLoad = () => {
+export type GetLoad = () => {
 	running: number;
 	queued: number;
 	capacity: number;
@@ -23,7 +23,7 @@
 	/** Set on entry daemons. */
 	readonly loans?: LoanManager;
 	/** Set on upstream daemons. */
-	readonly getLoad?: TellLoad;
+	readonly getLoad?: GetLoad;
 };
 
 /**
--- a/src/daemon/quarantine-interface.test.ts
+++ b/src/daemon/quarantine-interface.test.ts
@@ -9,10 +9,10 @@
 
 async function startGateway(operatorKey: string) {
 	const quarantine = createQuarantine({
-		book: createCrashRegistry(), daemon: 'g', listPeers: () => [], clock: createSystemClock(), events, onChange: () => undefined, onCrash: () => undefined,
+		crashRegistry: createCrashRegistry(), daemon: 'g', listPeers: () => [], clock: createSystemClock(), events, onChange: () => undefined, onCrash: () => undefined,
 	});
 	for (let crash = 0; crash < 3; crash += 1) {
-		quarantine.begin('d1').noteCrash('u');
+		quarantine.trackRun('d1').recordCrash('u');
 	}
 
 	const server = await startHttpServer({host: '127.0.0.1', port: 0}, service => {
--- a/src/daemon/relay-daemon.ts
+++ b/src/daemon/relay-daemon.ts
@@ -86,7 +86,7 @@
 			await options.close();
 			events.write('daemonStopped');
 		},
-		cut() {
+		logAbortedRequests() {
 			events.write('requestCut', {running: 0});
 		},
 	};
--- a/src/daemon/run-gateway-or-relay.ts
+++ b/src/daemon/run-gateway-or-relay.ts
@@ -14,7 +14,7 @@
 import {installExceptionHandler, installSignalHandlers} from './main.js';
 import {startRelayDaemon} from './relay-daemon.js';
 
-/** Options of {@linkcode runDirectDaemon}. */
+/** Options of {@linkcode runGatewayOrRelay}. */
 export type RunGatewayOrRelayOptions = {
 	/** Reads and validates the settings; throws if they are invalid. */
 	readonly readSettings: () => GatewayOrRelaySettings;
@@ -63,12 +63,12 @@
  *
  * @example
  * ```ts
- * checkDirectSettings(() => readSettingsFile('boot.toml'));
+ * checkGatewayOrRelaySettings(() => readSettingsFile('boot.toml'));
  * ```
  *
  * @param readSettings Reads and validates the settings; throws if they are invalid
  */
-export function checkDirectSettings(readSettings: () => GatewayOrRelaySettings): void {
+export function checkGatewayOrRelaySettings(readSettings: () => GatewayOrRelaySettings): void {
 	const settings = readSettingsOrReport(readSettings);
 	if (settings) {
 		process.stdout.write(`The settings of ${settings.role} "${settings.id}" are valid\n`);
@@ -81,12 +81,12 @@
  *
  * @example
  * ```ts
- * await runDirectDaemon({readSettings, createAdapter});
+ * await runGatewayOrRelay({readSettings, createAdapter});
  * ```
  *
  * @param options The settings and the adapter
  */
-export async function runDirectDaemon(options: RunGatewayOrRelayOptions): Promise<void> {
+export async function runGatewayOrRelay(options: RunGatewayOrRelayOptions): Promise<void> {
 	const settings = readSettingsOrReport(options.readSettings);
 	if (!settings) {
 		return;
--- a/src/daemon/upstream-daemon.ts
+++ b/src/daemon/upstream-daemon.ts
@@ -13,7 +13,7 @@
 import {createOperatorInterface} from './operator-interface.js';
 import {createPeerInterface} from './peer-interface.js';
 import {createUpstreamInterface} from './upstream-interface.js';
-import {createUpstreamWatch} from './upstream-watch.js';
+import {createUpstreamMonitor} from './upstream-monitor.js';
 import {waitUntilIdle} from './wait-until-idle.js';
 
 /** Time for entry daemons to learn that this daemon is stopping: two heartbeats. */
@@ -43,7 +43,7 @@
 	const executor = createRequestExecutor({
 		self, table, queue, follower, reporter, models: modelRunner, services: serviceRunner, clock, events,
 	});
-	const watch = createUpstreamWatch({
+	const watch = createUpstreamMonitor({
 		clock, capacity: upstream.capacity,
 		countRunning: () => table.countRunning(),
 		countQueued: () => queue.countWaiting(),
@@ -83,7 +83,7 @@
 	const execution = createExecution(core, settings);
 	const {table, queue, reporter, executor} = execution;
 	const fleetServer = await core.startFleet(connect => {
-		connect.service(Peer, createPeerInterface({self, follower, getLoad: execution.watch.tellLoad}));
+		connect.service(Peer, createPeerInterface({self, follower, getLoad: execution.watch.getLoad}));
 		connect.service(Upstream, createUpstreamInterface(self, executor));
 	});
 	const enrolment = core.enrol({address: fleetServer.address, serves: settings.upstream.serves, work: settings.upstream.work});
@@ -115,7 +115,7 @@
 			// Entry daemons learn of the stop with their next heartbeat. Requests that they send until then are refused as not run,
 			// and are sent to another upstream daemon.
 			await clock.sleep(leaveNoticeMs);
-			if (!await waitUntilIdle(countUnfinished, {within: settings.stopWithin, settleMs: resumeGraceMs, clock})) {
+			if (!await waitUntilIdle(countUnfinished, {timeoutMs: settings.stopWithin, settleMs: resumeGraceMs, clock})) {
 				events.write('requestCut', {opening: executor.countOpening(), running: table.countRunning(), delivering: executor.countDeliveries()});
 			}
 
@@ -128,7 +128,7 @@
 			await execution.close();
 			await core.close();
 		},
-		cut() {
+		logAbortedRequests() {
 			events.write('requestCut', {running: table.countRunning()});
 		},
 	};
--- a/src/daemon/upstream-watch.ts
+++ b/src/daemon/upstream-monitor.ts
@@ -4,9 +4,9 @@
  * @module
  */
 import type {Clock, EngineLoad} from '../transport/mod.js';
-import type {TellLoad} from './peer-interface.js';
+import type {GetLoad} from './peer-interface.js';
 
-/** Options of {@linkcode createUpstreamWatch}. */
+/** Options of {@linkcode createUpstreamMonitor}. */
 export type CreateUpstreamMonitorOptions = {
 	readonly clock: Clock;
 	readonly capacity: number;
@@ -27,19 +27,19 @@
  * @example
  * ```ts
  * void monitor.run(signal);
- * monitor.tellLoad().running;
+ * monitor.getLoad().running;
  * ```
  *
  * @param options The daemon's own counts and the checks of its upstream
  * @returns The monitor
  */
-export function createUpstreamWatch(options: CreateUpstreamMonitorOptions) {
+export function createUpstreamMonitor(options: CreateUpstreamMonitorOptions) {
 	const {clock, capacity} = options;
 	let misses = 0;
 	let load: EngineLoad | undefined;
 	let hasReportedLoad = false;
 
-	const getLoad: TellLoad = () => ({
+	const getLoad: GetLoad = () => ({
 		// All requests to the upstream pass through this daemon, so its own count is newer than the engine's report.
 		running: Math.max(options.countRunning(), hasReportedLoad ? 0 : load?.running ?? 0),
 		queued: options.countQueued(),
@@ -49,7 +49,7 @@
 	});
 
 	return {
-		tellLoad: getLoad,
+		getLoad,
 		async run(signal: AbortSignal): Promise<void> {
 			while (!signal.aborted) {
 				load = await options.fetchLoad();
--- a/src/daemon/wait-until-idle.ts
+++ b/src/daemon/wait-until-idle.ts
@@ -8,7 +8,7 @@
 /** Options of {@linkcode waitUntilIdle}. */
 export type WaitUntilIdleOptions = {
 	/** Longest wait, in milliseconds. */
-	readonly within: number;
+	readonly timeoutMs: number;
 	/** Time without running work after which the daemon counts as idle; default 0. */
 	readonly settleMs?: number;
 	readonly clock: Clock;
@@ -21,7 +21,7 @@
  *
  * @example
  * ```ts
- * await waitUntilIdle(() => table.countRunning(), {within: 60_000, clock});
+ * await waitUntilIdle(() => table.countRunning(), {timeoutMs: 60_000, clock});
  * ```
  *
  * @param countRunning Counts the running work
@@ -29,8 +29,8 @@
  * @returns True if no work is running
  */
 export async function waitUntilIdle(countRunning: () => number, options: WaitUntilIdleOptions): Promise<boolean> {
-	const {within, settleMs = 0, clock} = options;
-	const deadline = clock.now() + within;
+	const {timeoutMs, settleMs = 0, clock} = options;
+	const deadline = clock.now() + timeoutMs;
 	let busyAt = clock.now();
 	while (clock.now() < deadline) {
 		if (countRunning() > 0) {
--- a/tools/measure/contention.ts
+++ b/tools/measure/contention.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import {setTimeout as wait} from 'node:timers/promises';
-import {askGateway} from '../../platform/stand-ins/caller.js';
+import {sendGatewayRequest} from '../../platform/stand-ins/caller.js';
 import {formatCustomerKey, startPlatformFleet, type PlatformFleet} from '../../platform/stand-ins/fleet.js';
 import {readProcessUsage} from './process-usage.js';
 import {pickPercentile, roundTo} from './report.js';
@@ -61,7 +61,7 @@
 	const startedAt = performance.now();
 	const id = `r-${gateway}-${index}`;
 	try {
-		const {status} = await askGateway({
+		const {status} = await sendGatewayRequest({
 			url: fleet.gateways[gateway]!.ready.callers, host: fleet.host, key: formatCustomerKey((gateway + index) % customers), id, isStream: index % 2 === 0,
 		});
 		result.served += status === 200 ? 1 : 0;
