--- a/tools/harness/caller.ts
+++ b/tools/harness/caller.ts
@@ -1,44 +1,44 @@
 /**
- * A caller of the fleet, as a proof or measurement needs it.
+ * Client for the fleet's caller API, for the proofs, the measurements and the demo.
  *
  * @module
  */
 import type {Problem} from '../../src/protocol/mod.js';
 
-/** What a caller got. */
+/** A response as a caller received it. */
 export type CallerAnswer = {
 	readonly status: number;
-	/** Text of a whole answer. */
+	/** Generated text of a chat completion, or the response body of a booking. */
 	readonly text: string;
 	readonly problem?: Problem;
 	readonly retryAfter?: string;
 	readonly tokens: number;
 	readonly firstMs: number;
 	readonly totalMs: number;
-	/** True when the stream ended with `[DONE]`. */
+	/** True if the response succeeded and, for a stream, ended with `[DONE]`. */
 	readonly isWhole: boolean;
 };
 
-/** Options of a call. */
+/** Options that all calls have in common. */
 export type CallOptions = {
 	readonly key: string;
 	readonly idempotencyKey?: string;
-	/** A span with its unit, such as `10s`. */
+	/** A duration with its unit, such as `10s`. */
 	readonly deadline?: string;
 	readonly signal?: AbortSignal;
-	/** Called at the first chunk of a stream. */
+	/** Called when the first chunk of a stream arrives. */
 	readonly onFirst?: () => void;
 };
 
 /** Options of {@linkcode askChat}. */
-export type AskChatOptions = CallOptions & {
+export type RequestChatOptions = CallOptions & {
 	readonly content: string;
 	readonly maxTokens?: number;
 	readonly stream?: boolean;
 };
 
-/** Longest wait of a caller without a signal of its own, in milliseconds. */
-const callBound = 40_000;
+/** Timeout of calls without a signal. */
+const callTimeoutMs = 40_000;
 
 /** @internal */
 function buildHeaders(options: CallOptions): Record<string, string> {
@@ -53,26 +53,26 @@
 type StreamOutcome = Pick<CallerAnswer, 'text' | 'problem' | 'tokens' | 'firstMs' | 'isWhole'>;
 
 /** @internal */
-async function readStream(answer: Response, startedAt: number, onFirst?: () => void): Promise<StreamOutcome> {
+async function readStream(response: Response, startedAt: number, onFirstChunk?: () => void): Promise<StreamOutcome> {
 	let text = '';
 	let problem: Problem | undefined;
 	let tokens = 0;
 	let firstMs = 0;
-	let isWhole = false;
-	let rest = '';
+	let isComplete = false;
+	let remaining = '';
 	const decoder = new TextDecoder();
-	for await (const bytes of answer.body!) {
+	for await (const bytes of response.body!) {
 		if (firstMs === 0) {
 			firstMs = performance.now() - startedAt;
-			onFirst?.();
+			onFirstChunk?.();
 		}
 
-		const blocks = (rest + decoder.decode(bytes as Uint8Array, {stream: true})).split('\n\n');
-		rest = blocks.pop() ?? '';
+		const blocks = (remaining + decoder.decode(bytes as Uint8Array, {stream: true})).split('\n\n');
+		remaining = blocks.pop() ?? '';
 		for (const line of blocks.flatMap(block => block.split('\n')).filter(item => item.startsWith('data: '))) {
 			const data = line.slice('data: '.length);
 			if (data === '[DONE]') {
-				isWhole = true;
+				isComplete = true;
 				continue;
 			}
 
@@ -84,27 +84,27 @@
 	}
 
 	return {
-		text, problem, tokens, firstMs, isWhole,
+		text, problem, tokens, firstMs, isWhole: isComplete,
 	};
 }
 
 /**
- * Asks for a chat completion.
+ * Requests a chat completion.
  *
  * @example
  * ```ts
  * await askChat(entry.ready.callers, {key: 'k', content: 'answer 20'});
  * ```
  *
- * @param url An entry's address for callers
+ * @param url The caller URL of an entry daemon
  * @param options Key, prompt and headers
- * @returns What the caller got
- * @throws When the connection breaks
+ * @returns The response
+ * @throws If the connection fails or the call times out
  */
-export async function askChat(url: string, options: AskChatOptions): Promise<CallerAnswer> {
+export async function askChat(url: string, options: RequestChatOptions): Promise<CallerAnswer> {
 	const startedAt = performance.now();
-	const answer = await fetch(`${url}/v1/chat/completions`, {
-		method: 'POST', headers: buildHeaders(options), signal: options.signal ?? AbortSignal.timeout(callBound),
+	const response = await fetch(`${url}/v1/chat/completions`, {
+		method: 'POST', headers: buildHeaders(options), signal: options.signal ?? AbortSignal.timeout(callTimeoutMs),
 
 		body: JSON.stringify({
 			model: 'assistant',
@@ -113,17 +113,17 @@
 			stream: options.stream ?? false,
 		}),
 	});
-	const head = {status: answer.status, retryAfter: answer.headers.get('retry-after') ?? undefined};
-	if (answer.ok && options.stream) {
-		const outcome = await readStream(answer, startedAt, options.onFirst);
+	const head = {status: response.status, retryAfter: response.headers.get('retry-after') ?? undefined};
+	if (response.ok && options.stream) {
+		const outcome = await readStream(response, startedAt, options.onFirst);
 		return {...head, ...outcome, totalMs: performance.now() - startedAt};
 	}
 
-	const body = await answer.json() as {choices?: Array<{message: {content: string}}>; usage?: {total_tokens: number}};
+	const body = await response.json() as {choices?: Array<{message: {content: string}}>; usage?: {total_tokens: number}};
 	const totalMs = performance.now() - startedAt;
 	return {
-		...head, text: body.choices?.[0]?.message.content ?? '', problem: answer.ok ? undefined : body as unknown as Problem,
-		tokens: body.usage?.total_tokens ?? 0, firstMs: totalMs, totalMs, isWhole: answer.ok,
+		...head, text: body.choices?.[0]?.message.content ?? '', problem: response.ok ? undefined : body as unknown as Problem,
+		tokens: body.usage?.total_tokens ?? 0, firstMs: totalMs, totalMs, isWhole: response.ok,
 	};
 }
 
@@ -131,27 +131,27 @@
 export type BookSlotOptions = CallOptions & {readonly booking: string};
 
 /**
- * Books a slot.
+ * Books a slot at the service `bookings`.
  *
  * @example
  * ```ts
  * await bookSlot(entry.ready.callers, {key: 'k', booking: 'slot-1', idempotencyKey: 'slot-1'});
  * ```
  *
- * @param url An entry's address for callers
+ * @param url The caller URL of an entry daemon
  * @param options Key, booking and headers
- * @returns What the caller got
- * @throws When the connection breaks
+ * @returns The response
+ * @throws If the connection fails or the call times out
  */
 export async function bookSlot(url: string, options: BookSlotOptions): Promise<CallerAnswer> {
 	const startedAt = performance.now();
-	const answer = await fetch(`${url}/v1/services/bookings`, {
-		method: 'POST', headers: buildHeaders(options), signal: options.signal ?? AbortSignal.timeout(callBound), body: JSON.stringify({booking: options.booking}),
+	const response = await fetch(`${url}/v1/services/bookings`, {
+		method: 'POST', headers: buildHeaders(options), signal: options.signal ?? AbortSignal.timeout(callTimeoutMs), body: JSON.stringify({booking: options.booking}),
 	});
-	const text = await answer.text();
+	const text = await response.text();
 	const totalMs = performance.now() - startedAt;
 	return {
-		status: answer.status, text, problem: answer.ok ? undefined : JSON.parse(text) as Problem, retryAfter: answer.headers.get('retry-after') ?? undefined,
-		tokens: 0, firstMs: totalMs, totalMs, isWhole: answer.ok,
+		status: response.status, text, problem: response.ok ? undefined : JSON.parse(text) as Problem, retryAfter: response.headers.get('retry-after') ?? undefined,
+		tokens: 0, firstMs: totalMs, totalMs, isWhole: response.ok,
 	};
 }
--- a/tools/harness/fake-keyed-log.ts
+++ b/tools/harness/fake-keyed-log.ts
@@ -1,6 +1,6 @@
 /**
- * A keyed log in memory, for tests: appends under a condition, lost answers,
- * appends that are carried out late, and absences.
+ * In-memory keyed log for tests. It supports conditional appends and simulates
+ * lost answers, delayed appends and outages.
  *
  * @module
  */
@@ -8,44 +8,48 @@
 	Err, Ok, createFailure, type AppendOutcome, type KeyedLog, type KeyedRecord, type StoredRecord,
 } from '../../src/protocol/mod.js';
 
-/** What happens to the next appends: the answer is lost after or before the effect, or the append is carried out later. */
+/**
+ * How the log handles an append: it succeeds (`done`), takes effect without an
+ * answer (`lost-after`), has no effect and no answer (`lost-before`), or takes
+ * effect later without an answer (`late`).
+ */
 export type AppendFate = 'done' | 'lost-after' | 'lost-before' | 'late';
 
-/** A keyed log in memory. */
+/** An in-memory keyed log with simulated faults. */
 export type FakeKeyedLog = {
 	readonly records: StoredRecord[];
-	/** Fates of the next appends, in order; then all are done. */
+	/** Behavior of the next appends, in order; the appends after them succeed. */
 	readonly fates: AppendFate[];
-	/** Carries out the appends that were to be late, each if its condition still holds. */
+	/** Applies the delayed appends whose condition still holds. */
 	readonly releaseLate: () => void;
-	/** While true, nothing is done and nothing answers. */
+	/** While true, reads and appends fail and nothing is stored. */
 	isAway: boolean;
-	/** Reads from before this offset are told that it is gone. */
+	/** First retained offset; reads from an earlier one fail with `gone`. */
 	first: number;
-	/** Called as an append arrives, before it takes effect. */
+	/** Called when an append arrives, before it takes effect. */
 	onAppend: () => void;
-	/** A client of it. */
+	/** Creates a client of this log. */
 	readonly open: () => KeyedLog;
 };
 
 /**
- * Creates an empty log.
+ * Creates an empty in-memory log.
  *
  * @example
  * ```ts
  * const log = createFakeKeyedLog();
- * await log.open().append({key: 'a', value: '1'}, {at: 0});
+ * await log.open().append({key: 'a', value: '1'}, {expectedEnd: 0});
  * ```
  *
  * @returns The log
  */
 export function createFakeKeyedLog(): FakeKeyedLog {
 	const records: StoredRecord[] = [];
-	const late: Array<{record: KeyedRecord; at: number | undefined}> = [];
-	const away = createFailure('log-unavailable', 'The log is away');
+	const delayedAppends: Array<{record: KeyedRecord; expectedEnd: number | undefined}> = [];
+	const unavailable = createFailure('log-unavailable', 'The log is unavailable');
 
-	function put(record: KeyedRecord, at: number | undefined): AppendOutcome {
-		if (at !== undefined && at !== records.length) {
+	function appendIfExpected(record: KeyedRecord, expectedEnd: number | undefined): AppendOutcome {
+		if (expectedEnd !== undefined && expectedEnd !== records.length) {
 			return {kind: 'behind', end: records.length};
 		}
 
@@ -53,23 +57,23 @@
 		return {kind: 'appended', offset: records.length - 1};
 	}
 
-	function append(record: KeyedRecord, at: number | undefined): AppendOutcome {
+	function simulateAppend(record: KeyedRecord, expectedEnd: number | undefined): AppendOutcome {
 		if (fake.isAway) {
-			return {kind: 'unknown', failure: away};
+			return {kind: 'unknown', failure: unavailable};
 		}
 
-		const fate = fake.fates.shift() ?? 'done';
-		if (fate === 'done') {
-			return put(record, at);
+		const behavior = fake.fates.shift() ?? 'done';
+		if (behavior === 'done') {
+			return appendIfExpected(record, expectedEnd);
 		}
 
-		if (fate === 'lost-after') {
-			put(record, at);
-		} else if (fate === 'late') {
-			late.push({record, at});
+		if (behavior === 'lost-after') {
+			appendIfExpected(record, expectedEnd);
+		} else if (behavior === 'late') {
+			delayedAppends.push({record, expectedEnd});
 		}
 
-		return {kind: 'unknown', failure: away};
+		return {kind: 'unknown', failure: unavailable};
 	}
 
 	function listNewest(): StoredRecord[] {
@@ -84,23 +88,23 @@
 		first: 0,
 		onAppend: () => undefined,
 		releaseLate() {
-			for (const {record, at} of late.splice(0)) {
-				put(record, at);
+			for (const {record, expectedEnd} of delayedAppends.splice(0)) {
+				appendIfExpected(record, expectedEnd);
 			}
 		},
 		open: () => ({
 			name: 'fake',
-			readNewest: async () => fake.isAway ? Err(away) : Ok({records: listNewest(), end: records.length}),
+			readNewest: async () => fake.isAway ? Err(unavailable) : Ok({records: listNewest(), end: records.length}),
 			async read(from) {
 				if (fake.isAway) {
-					return Err({kind: 'away', failure: away});
+					return Err({kind: 'away', failure: unavailable});
 				}
 
 				return from < fake.first ? Err({kind: 'gone'}) : Ok({records: records.slice(from), end: records.length});
 			},
 			async append(record, {expectedEnd}) {
 				fake.onAppend();
-				return append(record, expectedEnd);
+				return simulateAppend(record, expectedEnd);
 			},
 		}),
 	};
--- a/tools/harness/fleet.ts
+++ b/tools/harness/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A small fleet of real processes before stand-ins, for the demo, the
- * measurements and the proofs.
+ * A small fleet of real daemon processes with stand-ins for engines, services,
+ * the log and the host list. The demo, the measurements and the proofs use it.
  *
  * @module
  */
@@ -11,49 +11,49 @@
 import {stringify} from 'yaml';
 import {computeDigest, type Change} from '../../src/protocol/mod.js';
 import {startProcess, type FleetProcess} from './process.js';
-import {createRelay, type Relay} from './relay.js';
+import {createTcpProxy, type TcpProxy} from './tcp-proxy.js';
 
-/** Keys of the test fleet. */
+/** Fleet key and operator key of the test fleet. */
 export const fleetKeys = {fleet: 'fleet-key-of-a-test', operator: 'operator-key-of-a-test'} as const;
 
 /** Options of {@linkcode startFleet}. */
 export type StartFleetOptions = {
 	readonly entries: number;
-	/** Engines, each with its upstream daemon. */
+	/** Number of engines, each with its own upstream daemon. */
 	readonly engines: number;
-	/** Booking services, each with its upstream daemon. */
+	/** Number of booking services, each with its own upstream daemon. */
 	readonly bookings: number;
-	/** What every engine is told at its start, such as its pace. */
+	/** Control values that are sent to every engine at its start, such as its pace. */
 	readonly engine?: Readonly<Record<string, unknown>>;
-	/** Settings laid over every daemon's. */
+	/** Settings that override those of every daemon. */
 	readonly settings?: Record<string, unknown>;
-	/** Settings laid over every entry daemon's. */
+	/** Settings that override those of every entry daemon. */
 	readonly entrySettings?: Record<string, unknown>;
-	/** Settings laid over `upstream` of every upstream daemon. */
+	/** Settings that override `upstream` of every upstream daemon. */
 	readonly upstreamSettings?: Record<string, unknown>;
-	/** Modules of the product replaced in every daemon, by path from the build folder; for proofs without a guard. */
+	/** Product modules to replace in every daemon, as paths relative to the build folder; for proofs that run without a guard. */
 	readonly replace?: Readonly<Record<string, string>>;
-	/** Puts a relay on each daemon's way to the log and before each daemon, so that links can be cut; default false. */
-	readonly relays?: boolean;
+	/** Whether a TCP proxy is placed between each daemon and the log, and in front of each daemon's peer address, so that links can be partitioned; default false. */
+	readonly hasProxies?: boolean;
 	readonly showLog?: boolean;
 };
 
-/** A daemon of the fleet. */
+/** A daemon of the test fleet. */
 export type FleetDaemon = {
 	process: FleetProcess;
 	readonly id: string;
 	readonly settings: Record<string, unknown>;
-	/** The relay on its way to the log, when there is one. */
-	readonly logRelay?: Relay;
-	/** The relay between its peers and itself, when there is one. */
-	readonly peerRelay?: Relay;
+	/** Proxy between this daemon and the log. */
+	readonly logProxy?: TcpProxy;
+	/** Proxy between this daemon's peers and its peer address. */
+	readonly peerProxy?: TcpProxy;
 };
 
-/** An upstream: its stand-in and its daemon. */
+/** An upstream daemon with the stand-in that it serves. */
 export type FleetUpstream = FleetDaemon & {readonly standIn: FleetProcess};
 
-/** A budget as an entry daemon shows it; all amounts in tokens. */
-export type BudgetFigures = Readonly<Record<'bought' | 'billed' | 'burnt' | 'refunded' | 'retired' | 'remaining' | 'granted' | 'locked' | 'freeHere', number>>;
+/** Amounts of a budget as an entry daemon reports them, in tokens. */
+export type BudgetAmounts = Readonly<Record<'bought' | 'billed' | 'burnt' | 'refunded' | 'retired' | 'remaining' | 'granted' | 'locked' | 'freeHere', number>>;
 
 /** A running test fleet. */
 export type TestFleet = Awaited<ReturnType<typeof startFleet>>;
@@ -61,58 +61,58 @@
 /* eslint-disable @typescript-eslint/naming-convention -- names of environment variables */
 const secrets = {FIREFLYLANE_FLEET_KEY: fleetKeys.fleet, FIREFLYLANE_OPERATOR_KEY: fleetKeys.operator};
 /* eslint-enable @typescript-eslint/naming-convention */
-const program = 'src/daemon.js';
-const readyPause = 50;
-const readyBound = 20_000;
+const daemonProgram = 'src/daemon.js';
+const pollIntervalMs = 50;
+const readyTimeoutMs = 20_000;
 
 /**
- * Posts or gets a JSON document.
+ * Sends a GET or POST request with the operator key and parses the JSON response.
  *
  * @example
  * ```ts
  * await fetchDocument(`${url}/counts`);
  * ```
  *
- * @param url The address
- * @param body What to post; default nothing, a get
- * @returns The answered document
+ * @param url The URL
+ * @param body Request body; without one the request is a GET
+ * @returns The parsed response body
  */
 export async function fetchDocument<Document>(url: string, body?: unknown): Promise<Document> {
-	const answer = await fetch(url, {
+	const response = await fetch(url, {
 		method: body === undefined ? 'GET' : 'POST',
 		headers: {'content-type': 'application/json', authorization: `Bearer ${fleetKeys.operator}`},
 		body: body === undefined ? undefined : JSON.stringify(body),
-		signal: AbortSignal.timeout(readyBound),
+		signal: AbortSignal.timeout(readyTimeoutMs),
 	});
-	return await answer.json() as Document;
+	return await response.json() as Document;
 }
 
 /**
- * Waits until a condition holds.
+ * Polls until a condition holds.
  *
  * @example
  * ```ts
  * await waitUntil(async () => isReady(), 'the fleet is ready');
  * ```
  *
- * @param condition The condition
- * @param what What is waited for, for the error
- * @param bound Longest wait in milliseconds; default 20000
- * @throws When the bound passes first
+ * @param condition Returns whether to stop waiting
+ * @param description The condition in words, for the error message
+ * @param timeoutMs Timeout in milliseconds; default 20000
+ * @throws If the condition does not hold within the timeout
  */
-export async function waitUntil(condition: () => Promise<boolean> | boolean, what: string, bound = readyBound): Promise<void> {
-	const until = Date.now() + bound;
+export async function waitUntil(condition: () => Promise<boolean> | boolean, description: string, timeoutMs = readyTimeoutMs): Promise<void> {
+	const deadline = Date.now() + timeoutMs;
 	while (!await condition()) {
-		if (Date.now() > until) {
-			throw new Error(`Waited ${bound} ms in vain until ${what}`);
+		if (Date.now() > deadline) {
+			throw new Error(`Timed out after ${timeoutMs} ms waiting until ${description}`);
 		}
 
-		await wait(readyPause);
+		await wait(pollIntervalMs);
 	}
 }
 
 /**
- * Starts a fleet.
+ * Starts a test fleet and waits for the ready line of each process.
  *
  * @example
  * ```ts
@@ -120,7 +120,7 @@
  * await fleet.stop();
  * ```
  *
- * @param options How many of what
+ * @param options Number of daemons of each kind and their settings
  * @returns The running fleet
  */
 export async function startFleet(options: StartFleetOptions) {
@@ -130,55 +130,55 @@
 	const hostList = await startProcess('host-list', {file: 'stand-ins/host-list.js'});
 	const entries: FleetDaemon[] = [];
 	const upstreams: FleetUpstream[] = [];
-	const relays: Relay[] = [];
-	const started: FleetProcess[] = [log, hostList];
+	const proxies: TcpProxy[] = [];
+	const processes: FleetProcess[] = [log, hostList];
 
-	function buildCommon(id: string, domain: number, peerRelay: Relay | undefined): Record<string, unknown> {
+	function buildCommonSettings(id: string, domainNumber: number, peerProxy: TcpProxy | undefined): Record<string, unknown> {
 		return {
-			id, failureDomain: `domain-${domain}`, advertise: peerRelay?.address,
+			id, failureDomain: `domain-${domainNumber}`, advertise: peerProxy?.address,
 			fleetKey: {environment: 'FIREFLYLANE_FLEET_KEY'}, operatorKey: {environment: 'FIREFLYLANE_OPERATOR_KEY'},
 			hostList: {url: hostList.ready.url, every: '300ms'},
 			...options.settings,
 		};
 	}
 
-	async function startDaemon(settings: Record<string, unknown>, peerRelay?: Relay): Promise<FleetProcess> {
+	async function startDaemon(settings: Record<string, unknown>, peerProxy?: TcpProxy): Promise<FleetProcess> {
 		const id = String(settings.id);
 		const path = join(folder, `${id}.yaml`);
 		writeFileSync(path, stringify(settings));
 		const daemon = await startProcess(id, {
-			file: program, args: ['--settings', path], showLog, environment: secrets, replace: options.replace,
+			file: daemonProgram, args: ['--settings', path], showLog, environment: secrets, replacedModules: options.replace,
 		});
-		peerRelay?.setTarget(`http://${daemon.ready.peers}`);
-		started.push(daemon);
+		peerProxy?.setTarget(`http://${daemon.ready.peers}`);
+		processes.push(daemon);
 		return daemon;
 	}
 
-	async function openRelay(target?: string): Promise<Relay | undefined> {
-		if (!options.relays) {
+	async function createProxyIfEnabled(target?: string): Promise<TcpProxy | undefined> {
+		if (!options.hasProxies) {
 			return undefined;
 		}
 
-		const relay = await createRelay(target);
-		relays.push(relay);
-		return relay;
+		const proxy = await createTcpProxy(target);
+		proxies.push(proxy);
+		return proxy;
 	}
 
-	function buildLog(relay: Relay | undefined): Record<string, unknown> {
-		const given = options.settings?.log as Record<string, unknown> | undefined;
-		return {...given, url: relay?.url ?? log.ready.url};
+	function buildLogSettings(proxy: TcpProxy | undefined): Record<string, unknown> {
+		const logSettings = options.settings?.log as Record<string, unknown> | undefined;
+		return {...logSettings, url: proxy?.url ?? log.ready.url};
 	}
 
 	async function addEntry(index: number): Promise<FleetDaemon> {
-		const logRelay = await openRelay(log.ready.url);
-		const peerRelay = await openRelay();
-		const any = {host: '127.0.0.1', port: 0};
+		const logProxy = await createProxyIfEnabled(log.ready.url);
+		const peerProxy = await createProxyIfEnabled();
+		const anyPort = {host: '127.0.0.1', port: 0};
 		const settings: Record<string, unknown> = {
-			...buildCommon(`entry-${index}`, index, peerRelay), role: 'entry', log: buildLog(logRelay),
-			listen: {callers: any, operators: any, peers: any}, ...options.entrySettings,
+			...buildCommonSettings(`entry-${index}`, index, peerProxy), role: 'entry', log: buildLogSettings(logProxy),
+			listen: {callers: anyPort, operators: anyPort, peers: anyPort}, ...options.entrySettings,
 		};
 		const daemon: FleetDaemon = {
-			id: settings.id as string, settings, logRelay, peerRelay, process: await startDaemon(settings, peerRelay),
+			id: settings.id as string, settings, logProxy, peerProxy, process: await startDaemon(settings, peerProxy),
 		};
 		entries.push(daemon);
 		return daemon;
@@ -188,48 +188,48 @@
 		const standIn = await startProcess(`${work}-${index}`, {
 			file: work === 'model' ? 'stand-ins/model-engine.js' : 'stand-ins/plain-service.js',
 		});
-		started.push(standIn);
+		processes.push(standIn);
 		if (work === 'model' && options.engine) {
 			await fetchDocument(`${standIn.ready.url}/control`, options.engine);
 		}
 
-		const logRelay = await openRelay(log.ready.url);
-		const peerRelay = await openRelay();
-		const any = {host: '127.0.0.1', port: 0};
+		const logProxy = await createProxyIfEnabled(log.ready.url);
+		const peerProxy = await createProxyIfEnabled();
+		const anyPort = {host: '127.0.0.1', port: 0};
 		const settings: Record<string, unknown> = {
-			...buildCommon(`up-${work}-${index}`, index, peerRelay), role: 'upstream', log: buildLog(logRelay),
-			listen: {operators: any, peers: any},
+			...buildCommonSettings(`up-${work}-${index}`, index, peerProxy), role: 'upstream', log: buildLogSettings(logProxy),
+			listen: {operators: anyPort, peers: anyPort},
 			upstream: {
 				work, url: standIn.ready.url, serves: [work === 'model' ? 'assistant' : 'bookings'], ...options.upstreamSettings,
 			},
 		};
 		const daemon: FleetUpstream = {
-			id: settings.id as string, settings, standIn, logRelay, peerRelay, process: await startDaemon(settings, peerRelay),
+			id: settings.id as string, settings, standIn, logProxy, peerProxy, process: await startDaemon(settings, peerProxy),
 		};
 		upstreams.push(daemon);
 		return daemon;
 	}
 
-	const numbers = (count: number) => Array.from({length: count}, (_, index) => index + 1);
+	const listNumbers = (count: number) => Array.from({length: count}, (_, index) => index + 1);
 	await Promise.all([
-		...numbers(options.entries).map(async index => addEntry(index)),
-		...numbers(options.engines).map(async index => addUpstream(index, 'model')),
-		...numbers(options.bookings).map(async index => addUpstream(index, 'service')),
+		...listNumbers(options.entries).map(async index => addEntry(index)),
+		...listNumbers(options.engines).map(async index => addUpstream(index, 'model')),
+		...listNumbers(options.bookings).map(async index => addUpstream(index, 'service')),
 	]);
 	entries.sort((left, right) => left.id.localeCompare(right.id));
 	upstreams.sort((left, right) => left.id.localeCompare(right.id));
 
-	function pickOperator(): string {
+	function pickOperatorUrl(): string {
 		return entries.find(entry => !entry.process.hasExited())!.process.ready.operators;
 	}
 
-	async function setHosts(absent: readonly string[] = []): Promise<void> {
-		const hosts = [...entries, ...upstreams].filter(daemon => !absent.includes(daemon.id)).map(daemon => ({id: daemon.id, state: 'live'}));
+	async function setHosts(absentIds: readonly string[] = []): Promise<void> {
+		const hosts = [...entries, ...upstreams].filter(daemon => !absentIds.includes(daemon.id)).map(daemon => ({id: daemon.id, state: 'live'}));
 		await fetchDocument(`${hostList.ready.url}/control`, {hosts, lag: 200});
 	}
 
 	async function applyChanges(changes: readonly Change[]): Promise<number> {
-		const operator = pickOperator();
+		const operator = pickOperatorUrl();
 		const plan = await fetchDocument<{plan: string; detail?: string}>(`${operator}/v1/intents`, {changes});
 		const confirmed = await fetchDocument<{version?: number; detail?: string}>(`${operator}/v1/intents/${plan.plan}/confirm`, {});
 		if (confirmed.version === undefined) {
@@ -244,7 +244,7 @@
 			const urls = [...entries, ...upstreams].map(daemon => `${daemon.process.ready.operators}/v1/status`);
 			const statuses = await Promise.all(urls.map(async url => fetchDocument<{version: number; isReady: boolean}>(url)));
 			return statuses.every(status => status.isReady && status.version >= version);
-		}, 'every daemon is ready with the version');
+		}, 'every daemon is ready and has the configuration version');
 	}
 
 	async function waitForPeers(): Promise<void> {
@@ -252,18 +252,18 @@
 			const urls = entries.map(entry => `${entry.process.ready.operators}/v1/hosts`);
 			const answers = await Promise.all(urls.map(async url => fetchDocument<{hosts: Array<{isAlive: boolean}>}>(url)));
 			return answers.every(({hosts}) => hosts.length === entries.length + upstreams.length && hosts.every(host => host.isAlive));
-		}, 'every entry hears every daemon');
+		}, 'every entry receives heartbeats from every daemon');
 	}
 
 	return {
 		log, hostList, entries, upstreams, startDaemon, addUpstream, setHosts, applyChanges, waitForVersion, waitForPeers,
 
-		/** Starts a daemon again with its settings, as on a replaced host. */
+		/** Starts a new process with the settings of a daemon, as on a replaced host. */
 		async restart(daemon: FleetDaemon): Promise<void> {
-			daemon.process = await startDaemon(daemon.settings, daemon.peerRelay);
+			daemon.process = await startDaemon(daemon.settings, daemon.peerProxy);
 		},
 
-		/** Sets up customers with one key and budget each, a model and a booking service. */
+		/** Configures a model, a booking service and customers with one key and one budget each, and waits until every daemon has the configuration. */
 		async configure(customers: ReadonlyArray<{name: string; key: string; tokens: number; weighs?: 'refusals' | 'overspend'}>, service: Record<string, unknown> = {}): Promise<void> {
 			const changes: Change[] = [
 				{change: 'put-model', model: {name: 'assistant', maxTokens: 400}},
@@ -291,28 +291,28 @@
 		},
 
 		async findBudget(budget: string) {
-			return fetchDocument<BudgetFigures>(`${pickOperator()}/v1/budgets/${budget}`);
+			return fetchDocument<BudgetAmounts>(`${pickOperatorUrl()}/v1/budgets/${budget}`);
 		},
 
-		/** What each process wrote, in the order of their starts. */
-		listLogs: () => started.map(({name, readLog}) => ({name, text: readLog()})),
+		/** Returns the output of each process, in the order in which they were started. */
+		listLogs: () => processes.map(({name, readLog}) => ({name, text: readLog()})),
 
-		/** Ends every process that this fleet started. */
+		/** Stops the daemons gracefully, kills the stand-ins and deletes the settings files. */
 		async stop(): Promise<void> {
 			await Promise.all([...entries, ...upstreams].map(async daemon => daemon.process.hasExited() ? 0 : daemon.process.stop()));
-			await Promise.all(started.map(async item => item.hasExited() ? undefined : item.kill()));
-			for (const relay of relays) {
-				relay.close();
+			await Promise.all(processes.map(async item => item.hasExited() ? undefined : item.kill()));
+			for (const proxy of proxies) {
+				proxy.close();
 			}
 
 			rmSync(folder, {recursive: true, force: true});
 		},
 
-		/** Kills every process that this fleet started. */
+		/** Kills all processes and deletes the settings files. */
 		async kill(): Promise<void> {
-			await Promise.all(started.map(async item => item.hasExited() ? undefined : item.kill()));
-			for (const relay of relays) {
-				relay.close();
+			await Promise.all(processes.map(async item => item.hasExited() ? undefined : item.kill()));
+			for (const proxy of proxies) {
+				proxy.close();
 			}
 
 			rmSync(folder, {recursive: true, force: true});
--- a/tools/harness/known-red.test.ts
+++ b/tools/harness/known-red.test.ts
@@ -9,7 +9,7 @@
 	expect(() => parseKnownRed('test a test without its file | cause | issue 1 | command')).toThrow('names neither');
 });
 
-test('what does not exist is found', () => {
+test('lines that name a missing proof or test are reported', () => {
 	const lines = [
 		'proof no-such-proof | cause | issue 1 | command',
 		'test tools/harness/known-red.test.ts: no such test | cause | issue 1 | command',
@@ -18,9 +18,9 @@
 	expect(findBadLines(parseKnownRed(lines.join('\n')), proofs)).toEqual(lines);
 });
 
-test('the check of the list cannot be put on the list', () => {
-	// The list named the test that checks it, and that test was passed over with
-	// all that it would have found.
+test('a test of the file that checks the list is not accepted on the list', () => {
+	// Guards against a list that disables its own check: it named the test that
+	// validates it, so that test was skipped and reported nothing.
 	const line = 'test tools/prove/prove.test.ts: KNOWN-RED.txt names proofs and tests that exist | cause | issue 1 | command';
 	expect(findBadLines(parseKnownRed(line), proofs)).toEqual([line]);
 });
--- a/tools/harness/known-red.ts
+++ b/tools/harness/known-red.ts
@@ -1,18 +1,18 @@
 /**
- * Faults that are known and not mended: KNOWN-RED.txt, a line each, which
- * begins with `proof NAME |` or `test FILE: NAME |`.
+ * Reads KNOWN-RED.txt, the list of known faults that are not fixed yet. Each
+ * line is one fault and begins with `proof NAME |` or `test FILE: NAME |`.
  *
  * @module
  */
 import {existsSync, readFileSync} from 'node:fs';
 
-/** One known fault: a proof, or a test of one file. */
+/** A known fault: a proof or a test that fails. */
 export type KnownRed = {readonly kind: string; readonly file: string | undefined; readonly name: string; readonly line: string};
 
-/** Holds the check of the list; a list that could name its tests would switch it off. */
+/** The test file that validates the list. The list may not name its tests, as that would disable the validation. */
 export const knownRedCheckFile = 'tools/prove/prove.test.ts';
 
-const subject = /^(?<kind>proof|test) (?:(?<file>\S+\.test\.ts): )?(?<name>[^|]+) \|/;
+const linePattern = /^(?<kind>proof|test) (?:(?<file>\S+\.test\.ts): )?(?<name>[^|]+) \|/;
 
 /**
  * Parses the text of KNOWN-RED.txt.
@@ -22,13 +22,13 @@
  * parseKnownRed('proof killed-holder | cause | issue 10 | command')[0].name; // 'killed-holder'
  * ```
  *
- * @param text A line a fault
+ * @param text The text, one fault per line
  * @returns The faults
- * @throws {TypeError} When a line names neither a proof nor a test of a file
+ * @throws {TypeError} If a line names neither a proof nor a test of a file
  */
 export function parseKnownRed(text: string): KnownRed[] {
 	return text.split('\n').filter(Boolean).map(line => {
-		const groups = subject.exec(line)?.groups;
+		const groups = linePattern.exec(line)?.groups;
 		if (!groups || (groups.kind === 'test') !== (groups.file !== undefined)) {
 			throw new TypeError(`A line of KNOWN-RED.txt names neither a proof nor a test of a file: ${line}`);
 		}
@@ -40,7 +40,7 @@
 }
 
 /**
- * Reads the known faults.
+ * Reads and parses KNOWN-RED.txt.
  *
  * @example
  * ```ts
@@ -48,24 +48,24 @@
  * ```
  *
  * @returns The faults
- * @throws {TypeError} When a line names neither a proof nor a test of a file
+ * @throws {TypeError} If a line names neither a proof nor a test of a file
  */
 export function readKnownRed(): KnownRed[] {
 	return parseKnownRed(readFileSync('KNOWN-RED.txt', 'utf8'));
 }
 
 /**
- * Finds the lines that may not stand in the list: proofs and tests that do not
- * exist, and tests of the file that checks the list.
+ * Finds invalid lines: those that name a proof or test that does not exist, or a
+ * test of the file that validates the list.
  *
  * @example
  * ```ts
  * findBadLines(readKnownRed(), ['killed-holder']);
  * ```
  *
- * @param known The list
+ * @param known The known faults
  * @param proofs The names of all proofs
- * @returns The lines at fault
+ * @returns The invalid lines
  */
 export function findBadLines(known: readonly KnownRed[], proofs: readonly string[]): string[] {
 	const isBad = ({kind, file, name}: KnownRed) => kind === 'proof'
--- a/tools/harness/mod.ts
+++ b/tools/harness/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Real processes for the demo, the measurements and the proofs.
+ * Test fleet of real processes, its clients and fakes, for the demo, the measurements, the proofs and the tests.
  *
  * @module
  */
@@ -8,4 +8,4 @@
 export * from './fleet.js';
 export * from './known-red.js';
 export * from './process.js';
-export * from './relay.js';
+export * from './tcp-proxy.js';
--- a/tools/harness/process.ts
+++ b/tools/harness/process.ts
@@ -1,5 +1,5 @@
 /**
- * Processes of a test fleet: started, killed, frozen and stopped by id.
+ * Starts, pauses, stops and kills the processes of a test fleet.
  *
  * @module
  */
@@ -9,59 +9,59 @@
 import {createInterface} from 'node:readline';
 import {fileURLToPath} from 'node:url';
 
-/** What a process printed as its ready line. */
+/** The JSON line that a process prints once it is ready. */
 export type ReadyLine = {
 	readonly pid: number; readonly url: string; readonly callers: string; readonly operators: string; readonly peers: string; readonly readiness: string; readonly metrics: string;
 };
 
-/** A process of the fleet. */
+/** A running process of the test fleet. */
 export type FleetProcess = {
 	readonly name: string;
 	readonly ready: ReadyLine;
-	/** Everything it wrote. */
+	/** Returns what the process wrote to standard output and standard error, limited to the last 4 million characters. */
 	readonly readLog: () => string;
 	readonly kill: () => Promise<void>;
 	readonly freeze: () => void;
 	readonly resume: () => void;
-	/** Sends SIGTERM and returns the exit code. */
+	/** Sends SIGTERM, waits for the exit and returns the exit code. */
 	readonly stop: () => Promise<number>;
 	readonly hasExited: () => boolean;
 };
 
 /** Options of {@linkcode startProcess}. */
 export type StartProcessOptions = {
-	/** The program's path from the build folder. */
+	/** Path of the program, relative to the build folder. */
 	readonly file: string;
 	readonly args?: readonly string[];
 	readonly environment?: Readonly<Record<string, string>>;
-	/** Modules replaced by others, both by path from the build folder; default none. */
-	readonly replace?: Readonly<Record<string, string>>;
-	/** Writes the process's log to this one's standard error; default false. */
+	/** Maps modules to their replacements, both as paths relative to the build folder; default none. */
+	readonly replacedModules?: Readonly<Record<string, string>>;
+	/** Whether to copy the standard error of the process to that of this process; default false. */
 	readonly showLog?: boolean;
 };
 
-/** Environment variable that names the replaced modules. */
-export const replaceVariable = 'FIREFLYLANE_PROOF_REPLACE';
+/** Environment variable that passes the replaced modules to the process, as JSON. */
+export const replacedModulesVariable = 'FIREFLYLANE_PROOF_REPLACE';
 
-const logLimit = 4_000_000;
-/** The build folder, whether this module runs from one or from its source. */
+const maxLogCharacters = 4_000_000;
+/** URL of the build folder, both when this module runs from it and when it runs from source. */
 const buildFolder = new URL(import.meta.url.endsWith('.js') ? '../../' : '../../dist/', import.meta.url);
 
-type ReadReadyLineOptions = {readonly readLog: () => string; readonly keepLine: (line: string) => void};
+type ReadReadyLineOptions = {readonly readLog: () => string; readonly onLine: (line: string) => void};
 
 /** @internal */
-async function readReadyLine(child: ChildProcess, name: string, {readLog, keepLine}: ReadReadyLineOptions): Promise<ReadyLine> {
+async function readReadyLine(child: ChildProcess, name: string, {readLog, onLine}: ReadReadyLineOptions): Promise<ReadyLine> {
 	const lines = createInterface({input: child.stdout!});
-	lines.on('line', keepLine);
-	const first = await Promise.race([
+	lines.on('line', onLine);
+	const firstEvent = await Promise.race([
 		once(lines, 'line') as Promise<[string]>,
 		once(child, 'exit') as Promise<[number]>,
 	]);
-	if (typeof first[0] !== 'string') {
-		throw new TypeError(`Process "${name}" ended with code ${String(first[0])} before it was ready: ${readLog()}`);
+	if (typeof firstEvent[0] !== 'string') {
+		throw new TypeError(`Process "${name}" exited with code ${String(firstEvent[0])} before it was ready: ${readLog()}`);
 	}
 
-	return JSON.parse(first[0]) as ReadyLine;
+	return JSON.parse(firstEvent[0]) as ReadyLine;
 }
 
 /**
@@ -72,33 +72,33 @@
  * const log = await startProcess('log', {file: 'stand-ins/log-service.js'});
  * ```
  *
- * @param name What to call it
- * @param options The program
+ * @param name Name for logs and error messages
+ * @param options The program, its arguments and its environment
  * @returns The running process
- * @throws When it ends before it is ready
+ * @throws {TypeError} If the process exits before it is ready
  */
 export async function startProcess(name: string, options: StartProcessOptions): Promise<FleetProcess> {
 	const file = fileURLToPath(new URL(options.file, buildFolder));
-	const replacing = options.replace ? ['--import', fileURLToPath(new URL('tools/prove/replace.js', buildFolder))] : [];
-	const child = spawn(process.execPath, [...replacing, file, ...options.args ?? []], {
+	const importArguments = options.replacedModules ? ['--import', fileURLToPath(new URL('tools/prove/replace.js', buildFolder))] : [];
+	const child = spawn(process.execPath, [...importArguments, file, ...options.args ?? []], {
 		stdio: ['ignore', 'pipe', 'pipe'],
-		// A terminal's Ctrl-C goes to the whole process group; the fleet is stopped in order by the one that started it.
+		// Ctrl-C in a terminal signals the whole process group. A group of its own lets the starting process stop the fleet in order.
 		detached: true,
-		env: {...process.env, ...options.environment, [replaceVariable]: JSON.stringify(options.replace ?? {})},
+		env: {...process.env, ...options.environment, [replacedModulesVariable]: JSON.stringify(options.replacedModules ?? {})},
 	});
 	let log = '';
 	child.stderr.on('data', (data: Uint8Array) => {
-		log = (log + String(data)).slice(-logLimit);
+		log = (log + String(data)).slice(-maxLogCharacters);
 		if (options.showLog) {
 			process.stderr.write(data);
 		}
 	});
-	const exited = once(child, 'exit') as Promise<[number | undefined]>;
+	const exit = once(child, 'exit') as Promise<[number | undefined]>;
 	const readLog = () => log;
 	const ready = await readReadyLine(child, name, {
 		readLog,
-		keepLine(line) {
-			log = (log + line + '\n').slice(-logLimit);
+		onLine(line) {
+			log = (log + line + '\n').slice(-maxLogCharacters);
 		},
 	});
 	return {
@@ -108,7 +108,7 @@
 		hasExited: () => child.exitCode !== null || child.signalCode !== null,
 		async kill() {
 			child.kill('SIGKILL');
-			await exited;
+			await exit;
 		},
 		freeze() {
 			child.kill('SIGSTOP');
@@ -123,7 +123,7 @@
 
 			child.kill('SIGCONT');
 			child.kill('SIGTERM');
-			const [code] = await exited;
+			const [code] = await exit;
 			return code ?? -1;
 		},
 	};
--- a/tools/pass-over-known-red.ts
+++ b/tools/pass-over-known-red.ts
@@ -1,6 +1,6 @@
 /**
- * Has vitest pass over the tests that KNOWN-RED.txt lists, and over no others.
- * With `FIREFLYLANE_KNOWN_RED=run` they run as well.
+ * Setup file for vitest that skips the tests listed in KNOWN-RED.txt and no
+ * others. `FIREFLYLANE_KNOWN_RED=run` runs the listed tests as well.
  *
  * @module
  */
@@ -8,10 +8,10 @@
 import {beforeEach} from 'vitest';
 import {knownRedCheckFile, readKnownRed} from './harness/known-red.js';
 
-const passedOver = new Set(readKnownRed().filter(({kind}) => kind === 'test').map(({file, name}) => `${file!}: ${name}`));
+const listedTests = new Set(readKnownRed().filter(({kind}) => kind === 'test').map(({file, name}) => `${file!}: ${name}`));
 
 beforeEach(({task, skip}) => {
-	const isListed = task.file.name !== knownRedCheckFile && passedOver.has(`${task.file.name}: ${task.name}`);
+	const isListed = task.file.name !== knownRedCheckFile && listedTests.has(`${task.file.name}: ${task.name}`);
 	if (isListed && process.env.FIREFLYLANE_KNOWN_RED !== 'run') {
 		skip();
 	}
--- a/tools/prove/booking-proofs.ts
+++ b/tools/prove/booking-proofs.ts
@@ -1,5 +1,6 @@
 /**
- * Proofs that every booking runs at most once, and that "not run" is true.
+ * Proofs that a booking runs at most once, and that a booking refused as "not run"
+ * has not run.
  *
  * @module
  */
@@ -8,16 +9,16 @@
 	bookSlot, fetchDocument, waitUntil, type CallerAnswer, type FleetUpstream, type TestFleet,
 } from '../harness/mod.js';
 import {
-	city, configureCity, countBookings, listen, setLog,
-} from './count.js';
+	city, configureCity, countBookings, getCallerUrl, controlLog,
+} from './scenario-steps.js';
 import {
-	quick, replaceModule, type Proof,
+	fastSuspicion, replaceModule, type Proof,
 } from './proof.js';
 
-const oncePromise = 'A non-idempotent request runs at most once.';
+const atMostOncePromise = 'A non-idempotent request runs at most once.';
 const notRunPromise = 'When a request is refused as "not run", it truly did not run.';
 const bookingFleet = {
-	entries: 2, engines: 0, bookings: 2, settings: quick,
+	entries: 2, engines: 0, bookings: 2, settings: fastSuspicion,
 };
 
 async function tryBook(url: string, booking: string, deadline = '5s'): Promise<CallerAnswer | undefined> {
@@ -30,12 +31,12 @@
 	}
 }
 
-async function slowServices(fleet: TestFleet, duration: number): Promise<void> {
-	await Promise.all(fleet.upstreams.map(async upstream => fetchDocument(`${upstream.standIn.ready.url}/control`, {duration})));
+async function slowDownServices(fleet: TestFleet, durationMs: number): Promise<void> {
+	await Promise.all(fleet.upstreams.map(async upstream => fetchDocument(`${upstream.standIn.ready.url}/control`, {duration: durationMs})));
 }
 
-// A refusal as "not run" is a lie when the service's own record shows the booking.
-function countLies(counts: Map<string, number>, answers: ReadonlyMap<string, CallerAnswer | undefined>): number {
+// Counts the refusals as "not run" of bookings that the service has executed, according to its own record.
+function countFalseNotRun(counts: Map<string, number>, answers: ReadonlyMap<string, CallerAnswer | undefined>): number {
 	return [...answers].filter(([booking, answer]) => answer?.problem?.ran === 'no' && (counts.get(booking) ?? 0) > 0).length;
 }
 
@@ -56,58 +57,58 @@
 
 const killedExecutor: Proof = {
 	name: 'killed-executor',
-	promise: oncePromise,
-	story: `A family's booking is made twice. The daemon beside the booking service dies before, during and after the
-booking; the caller asks again through the other entry, and another daemon would run it anew.`,
+	promise: atMostOncePromise,
+	scenario: `A family's booking is made twice. The daemon of the booking service is killed before, during and after the
+booking. The caller retries through the other entry, and another daemon runs the booking again.`,
 	isInCi: true,
 	fleet: bookingFleet,
-	withoutGuard: replaceModule('src/coordination/service-runner', 'runner-without-register'),
+	unguardedModules: replaceModule('src/coordination/service-runner', 'service-runner-without-permit'),
 	async run(fleet) {
 		await configureCity(fleet);
 		const answers = new Map<string, CallerAnswer | undefined>();
-		await slowServices(fleet, 1200);
-		const during = tryBook(listen(fleet.entries[0]), 'during');
+		await slowDownServices(fleet, 1200);
+		const duringCall = tryBook(getCallerUrl(fleet.entries[0]), 'during');
 		const executor = await findExecutor(fleet, 'during');
-		const after = tryBook(listen(fleet.entries[0]), 'after');
+		const after = tryBook(getCallerUrl(fleet.entries[0]), 'after');
 		await executor.process.kill();
-		await Promise.all([during, after]);
+		await Promise.all([duringCall, after]);
 		for (const booking of ['before', 'during', 'after']) {
-			answers.set(booking, await tryBook(listen(fleet.entries[1]), booking));
+			answers.set(booking, await tryBook(getCallerUrl(fleet.entries[1]), booking));
 		}
 
 		await fleet.restart(executor);
 		await wait(1500);
 		for (const booking of ['before', 'during', 'after']) {
-			answers.set(`${booking}`, await tryBook(listen(fleet.entries[1]), booking));
+			answers.set(`${booking}`, await tryBook(getCallerUrl(fleet.entries[1]), booking));
 		}
 
 		const counts = await countBookings(fleet);
-		const most = Math.max(...counts.values());
-		const lies = countLies(counts, answers);
+		const mostExecutions = Math.max(...counts.values());
+		const falseNotRun = countFalseNotRun(counts, answers);
 		return {
-			holds: most === 1 && lies === 0 && answers.get('before')?.status === 200 && answers.get('during')?.problem?.ran === 'unknown',
-			figures: {mostExecutions: most, lies, during: answers.get('during')?.problem?.ran ?? 'answered'},
+			holds: mostExecutions === 1 && falseNotRun === 0 && answers.get('before')?.status === 200 && answers.get('during')?.problem?.ran === 'unknown',
+			figures: {mostExecutions, lies: falseNotRun, during: answers.get('during')?.problem?.ran ?? 'answered'},
 		};
 	},
 };
 
 const lostBookingAnswer: Proof = {
 	name: 'lost-booking-answer',
-	promise: oncePromise,
-	story: `A bed is reserved twice. The registry makes the reservation and the connection breaks before its answer; the
-caller asks again, and the daemon, which saw only a failure, would call the registry again.`,
+	promise: atMostOncePromise,
+	scenario: `A bed is reserved twice. The bed registry makes the reservation, and the connection fails before its answer
+arrives. The caller retries, and the daemon, which saw only a failure, calls the bed registry again.`,
 	isInCi: true,
 	fleet: {...bookingFleet, bookings: 1},
-	// Two guards stand here: the table keeps the failure, and the right to run is not given twice.
-	withoutGuard: {
-		...replaceModule('src/state/request-table', 'table-that-forgets-failures'),
-		...replaceModule('src/coordination/service-runner', 'runner-without-register'),
+	// There are two guards: the request table keeps the failure, and the permit is granted only once.
+	unguardedModules: {
+		...replaceModule('src/state/request-table', 'request-table-without-failures'),
+		...replaceModule('src/coordination/service-runner', 'service-runner-without-permit'),
 	},
 	async run(fleet) {
 		await configureCity(fleet);
 		await fetchDocument(`${fleet.upstreams[0]!.standIn.ready.url}/control`, {loseAnswers: 1});
-		const first = await tryBook(listen(fleet.entries[0]), 'bed-4');
-		const second = await tryBook(listen(fleet.entries[1]), 'bed-4');
+		const first = await tryBook(getCallerUrl(fleet.entries[0]), 'bed-4');
+		const second = await tryBook(getCallerUrl(fleet.entries[1]), 'bed-4');
 		const counts = await countBookings(fleet);
 		return {
 			holds: counts.get('bed-4') === 1 && first?.problem?.ran === 'unknown' && second?.problem?.ran === 'unknown',
@@ -119,65 +120,65 @@
 const bookingLogDown: Proof = {
 	name: 'booking-log-down',
 	promise: notRunPromise,
-	story: `A booking is refused as not run and made all the same, or twice. The log is down while callers book and an
-executor dies; what ran without a record would be run again by its successor.`,
+	scenario: `A booking that was refused as "not run" is made all the same, or a booking is made twice. The log is down while
+callers book, and an executor is killed. A booking that ran without a record in the log is run again by another daemon.`,
 	isInCi: true,
 	fleet: bookingFleet,
-	withoutGuard: replaceModule('src/coordination/service-runner', 'runner-without-register'),
+	unguardedModules: replaceModule('src/coordination/service-runner', 'service-runner-without-permit'),
 	async run(fleet) {
 		await configureCity(fleet);
-		await tryBook(listen(fleet.entries[0]), 'warm');
+		await tryBook(getCallerUrl(fleet.entries[0]), 'warm');
 		await wait(500);
-		await setLog(fleet, {isDown: true});
+		await controlLog(fleet, {isDown: true});
 		await wait(500);
 		const names = ['one', 'two', 'three', 'four'];
 		const answers = new Map<string, CallerAnswer | undefined>();
 		for (const name of names) {
-			answers.set(name, await tryBook(listen(fleet.entries[0]), name, '2s'));
+			answers.set(name, await tryBook(getCallerUrl(fleet.entries[0]), name, '2s'));
 		}
 
-		const lies = countLies(await countBookings(fleet), answers);
+		const falseNotRun = countFalseNotRun(await countBookings(fleet), answers);
 		await fleet.upstreams[0]!.process.kill();
-		await setLog(fleet, {isDown: false});
+		await controlLog(fleet, {isDown: false});
 		await wait(3000);
 		for (const name of names) {
-			answers.set(name, await tryBook(listen(fleet.entries[1]), name));
+			answers.set(name, await tryBook(getCallerUrl(fleet.entries[1]), name));
 		}
 
 		const counts = await countBookings(fleet);
-		const most = Math.max(...counts.values());
+		const mostExecutions = Math.max(...counts.values());
 		return {
-			holds: most === 1 && lies === 0 && names.every(name => answers.get(name)?.status === 200),
-			figures: {mostExecutions: most, lies, bookedAfterwards: names.filter(name => answers.get(name)?.status === 200).length},
+			holds: mostExecutions === 1 && falseNotRun === 0 && names.every(name => answers.get(name)?.status === 200),
+			figures: {mostExecutions, lies: falseNotRun, bookedAfterwards: names.filter(name => answers.get(name)?.status === 200).length},
 		};
 	},
 };
 
-const frozenExecutor: Proof = {
+const pausedExecutor: Proof = {
 	name: 'frozen-executor',
-	promise: oncePromise,
-	story: `A slot is booked twice. The executor is paused just as the call reaches it; the caller's call goes to another
-executor; the first one wakes with the call still in its hands.`,
+	promise: atMostOncePromise,
+	scenario: `A slot is booked twice. The executor is paused just as it receives the call. The call is sent to another
+executor, and the first one resumes with the call still pending.`,
 	isInCi: true,
 	fleet: bookingFleet,
-	withoutGuard: replaceModule('src/coordination/service-runner', 'runner-without-register'),
+	unguardedModules: replaceModule('src/coordination/service-runner', 'service-runner-without-permit'),
 	async run(fleet) {
 		await configureCity(fleet);
 		const names = Array.from({length: 8}, (_, index) => `slot-${index}`);
 		fleet.upstreams[0]!.process.freeze();
 		const answers = new Map<string, CallerAnswer | undefined>();
 		await Promise.all(names.map(async name => {
-			answers.set(name, await tryBook(listen(fleet.entries[0]), name, '12s'));
+			answers.set(name, await tryBook(getCallerUrl(fleet.entries[0]), name, '12s'));
 		}));
 		fleet.upstreams[0]!.process.resume();
 		await wait(2500);
 		const counts = await countBookings(fleet);
-		const lies = countLies(counts, answers);
-		const most = Math.max(...counts.values());
+		const falseNotRun = countFalseNotRun(counts, answers);
+		const mostExecutions = Math.max(...counts.values());
 		const served = names.filter(name => answers.get(name)?.status === 200).length;
-		return {holds: most === 1 && lies === 0 && served === names.length, figures: {mostExecutions: most, lies, served}};
+		return {holds: mostExecutions === 1 && falseNotRun === 0 && served === names.length, figures: {mostExecutions, lies: falseNotRun, served}};
 	},
 };
 
 /** Proofs of bookings. */
-export const bookingProofs: readonly Proof[] = [killedExecutor, lostBookingAnswer, bookingLogDown, frozenExecutor];
+export const bookingProofs: readonly Proof[] = [killedExecutor, lostBookingAnswer, bookingLogDown, pausedExecutor];
--- a/tools/prove/delivery-proofs.ts
+++ b/tools/prove/delivery-proofs.ts
@@ -1,35 +1,35 @@
 /**
- * Proofs that every answer arrives whole and at its own asker.
+ * Proofs that every caller receives the whole answer to its own request.
  *
  * @module
  */
 import {setTimeout as wait} from 'node:timers/promises';
 import {fetchDocument, waitUntil, type TestFleet} from '../harness/mod.js';
 import {
-	beginStream, city, configureCity, countEngines, isOwnText, listen, readStatus, tryChat, waitForReceipts,
-} from './count.js';
+	startStream, city, configureCity, sumEngineCounts, isOwnAnswer, getCallerUrl, readStatus, tryChat, waitForReceipts,
+} from './scenario-steps.js';
 import {
-	quick, replaceModule, type Proof,
+	fastSuspicion, replaceModule, type Proof,
 } from './proof.js';
 
-const wholePromise = 'A caller receives the whole answer to its own request and no one else\'s.';
+const deliveryPromise = 'A caller receives the whole answer to its own request and no one else\'s.';
 
 const crossedAnswers: Proof = {
 	name: 'crossed-answers',
-	promise: wholePromise,
-	story: `A parent reads a summary about another child. Frames of one answer arrive in the stream of another, as from
-a faulty daemon; only their names, sequence and digest tell them apart.`,
+	promise: deliveryPromise,
+	scenario: `A parent reads a summary about another child. A faulty daemon sends frames of one answer in the stream of
+another. Only the request ID, attempt, sequence number and digest distinguish them.`,
 	isInCi: true,
 	fleet: {
-		entries: 1, engines: 1, bookings: 0, replace: replaceModule('src/daemon/upstream-interface', 'upstream-interface-that-crosses'),
+		entries: 1, engines: 1, bookings: 0, replace: replaceModule('src/daemon/upstream-interface', 'upstream-interface-with-crossed-frames'),
 	},
-	withoutGuard: replaceModule('src/coordination/frame-check', 'frames-unchecked'),
+	unguardedModules: replaceModule('src/coordination/frame-check', 'frame-check-disabled'),
 	async run(fleet) {
 		await configureCity(fleet);
-		const answers = await Promise.all(Array.from({length: 12}, async (_, index) => tryChat(listen(fleet.entries[0]), {
+		const answers = await Promise.all(Array.from({length: 12}, async (_, index) => tryChat(getCallerUrl(fleet.entries[0]), {
 			content: `crossed ${index} answer 40`, maxTokens: 40, stream: index % 2 === 0,
 		})));
-		const own = answers.filter(answer => answer?.isWhole && isOwnText(answer.text, 40)).length;
+		const own = answers.filter(answer => answer?.isWhole && isOwnAnswer(answer.text, 40)).length;
 		const status = await readStatus(fleet.entries[0]!);
 		return {holds: own === answers.length, figures: {answers: answers.length, own, dropped: status.events.frameDropped ?? 0}};
 	},
@@ -37,28 +37,28 @@
 
 const silentUpstreamLink: Proof = {
 	name: 'silent-upstream-link',
-	promise: wholePromise,
-	story: `A caller's stream stops half-way and never goes on. The connection between entry and upstream daemon has
-gone silent for good, while new ones work.`,
+	promise: deliveryPromise,
+	scenario: `A caller's stream stops half-way and never resumes. The connection between entry and upstream daemon has
+stalled permanently, while new connections work.`,
 	isInCi: true,
 	fleet: {
-		entries: 1, engines: 1, bookings: 0, relays: true, settings: quick,
+		entries: 1, engines: 1, bookings: 0, hasProxies: true, settings: fastSuspicion,
 	},
-	withoutGuard: replaceModule('src/transport/fleet-client', 'fleet-client-that-waits'),
+	unguardedModules: replaceModule('src/transport/fleet-client', 'fleet-client-without-abandon'),
 	async run(fleet) {
 		await configureCity(fleet);
-		const answer = tryChat(listen(fleet.entries[0]), {
+		const answer = tryChat(getCallerUrl(fleet.entries[0]), {
 			content: 'answer 300', maxTokens: 300, stream: true, deadline: '15s',
 			onFirst() {
-				fleet.upstreams[0]!.peerRelay!.silenceOpen();
+				fleet.upstreams[0]!.peerProxy!.stallOpenConnections();
 			},
 		});
 		const outcome = await answer;
-		const {runs} = await countEngines(fleet);
+		const {runs} = await sumEngineCounts(fleet);
 		await waitForReceipts(fleet);
 		const budget = await fleet.findBudget(city.budget);
 		return {
-			holds: Boolean(outcome?.isWhole) && isOwnText(outcome!.text, 300) && runs === 1 && budget.billed < 330 && outcome!.totalMs < 8000,
+			holds: Boolean(outcome?.isWhole) && isOwnAnswer(outcome!.text, 300) && runs === 1 && budget.billed < 330 && outcome!.totalMs < 8000,
 			figures: {
 				isWhole: Boolean(outcome?.isWhole), tokens: outcome?.tokens ?? 0, runs, billed: budget.billed, totalMs: Math.round(outcome?.totalMs ?? 0),
 			},
@@ -68,26 +68,26 @@
 
 const silentEngineLink: Proof = {
 	name: 'silent-engine-link',
-	promise: wholePromise,
-	story: `A caller's stream stops half-way and never goes on. The connection between upstream daemon and engine has gone
-silent for good, while new ones work.`,
+	promise: deliveryPromise,
+	scenario: `A caller's stream stops half-way and never resumes. The connection between upstream daemon and engine has
+stalled permanently, while new connections work.`,
 	isInCi: true,
 	fleet: {
 		entries: 1, engines: 1, bookings: 0, upstreamSettings: {silence: '1s'},
 	},
-	withoutGuard: replaceModule('src/transport/engine-client', 'engine-client-that-waits'),
+	unguardedModules: replaceModule('src/transport/engine-client', 'engine-client-without-idle-timeout'),
 	async run(fleet) {
 		await configureCity(fleet);
 		const engine = fleet.upstreams[0]!.standIn.ready.url;
-		const outcome = await tryChat(listen(fleet.entries[0]), {
+		const outcome = await tryChat(getCallerUrl(fleet.entries[0]), {
 			content: 'answer 300', maxTokens: 300, stream: true, deadline: '10s',
 			onFirst() {
 				void fetchDocument(`${engine}/control`, {silenceOpen: true});
 			},
 		});
-		const {runs, resumed} = await countEngines(fleet);
+		const {runs, resumed} = await sumEngineCounts(fleet);
 		return {
-			holds: Boolean(outcome?.isWhole) && isOwnText(outcome!.text, 300) && runs === 1 && outcome!.totalMs < 6000,
+			holds: Boolean(outcome?.isWhole) && isOwnAnswer(outcome!.text, 300) && runs === 1 && outcome!.totalMs < 6000,
 			figures: {
 				isWhole: Boolean(outcome?.isWhole), tokens: outcome?.tokens ?? 0, runs, resumed, totalMs: Math.round(outcome?.totalMs ?? 0),
 			},
@@ -98,20 +98,20 @@
 const silentLogLink: Proof = {
 	name: 'silent-log-link',
 	promise: 'An accepted configuration is in force everywhere within seconds and never reverts.',
-	story: `An operator's change is accepted and one daemon never hears of it. Its connection to the log has gone silent
-for good, while new ones work.`,
+	scenario: `An operator's change is accepted, but one daemon never receives it. Its connection to the log has stalled
+permanently, while new connections work.`,
 	isInCi: true,
 	fleet: {
-		entries: 2, engines: 1, bookings: 0, relays: true, settings: {...quick, log: {timeout: '1s'}},
+		entries: 2, engines: 1, bookings: 0, hasProxies: true, settings: {...fastSuspicion, log: {timeout: '1s'}},
 	},
-	withoutGuard: {
-		...replaceModule('src/transport/log-client', 'log-client-that-waits'),
+	unguardedModules: {
+		...replaceModule('src/transport/log-client', 'log-client-without-timeout'),
 		...replaceModule('src/coordination/membership', 'membership-without-relay'),
 	},
 	async run(fleet) {
 		await configureCity(fleet);
 		await wait(500);
-		fleet.upstreams[0]!.logRelay!.silenceOpen();
+		fleet.upstreams[0]!.logProxy!.stallOpenConnections();
 		const startedAt = performance.now();
 		const version = await fleet.applyChanges([{change: 'put-model', model: {name: 'second', maxTokens: 10}}]);
 		await waitUntil(async () => {
@@ -124,33 +124,33 @@
 
 const silentLinkAndKilledEntry: Proof = {
 	name: 'silent-link-and-killed-entry',
-	promise: wholePromise,
-	story: `Two failures at once: the link to the upstream daemon goes silent, and the entry that was resuming the stream
-dies. The caller asks again elsewhere and must get the whole answer of the one run.`,
+	promise: deliveryPromise,
+	scenario: `Two failures at once: the connection to the upstream daemon stalls, and the entry that was resuming the stream
+is killed. The caller retries through another entry and must get the whole answer of the one run.`,
 	isInCi: false,
 	fleet: {
-		entries: 2, engines: 2, bookings: 0, relays: true, settings: quick,
+		entries: 2, engines: 2, bookings: 0, hasProxies: true, settings: fastSuspicion,
 	},
-	withoutGuard: replaceModule('src/state/request-table', 'table-that-forgets'),
+	unguardedModules: replaceModule('src/state/request-table', 'request-table-without-lookup'),
 	async run(fleet) {
 		await configureCity(fleet);
 		const call = {
 			content: 'answer 300', maxTokens: 300, stream: true, idempotencyKey: 'letter-9', deadline: '20s',
 		};
-		const first = await beginStream(listen(fleet.entries[0]), call);
+		const first = await startStream(getCallerUrl(fleet.entries[0]), call);
 		for (const upstream of fleet.upstreams) {
-			upstream.peerRelay!.silenceOpen();
+			upstream.peerProxy!.stallOpenConnections();
 		}
 
 		await wait(300);
 		await fleet.entries[0]!.process.kill();
 		await first.outcome;
-		const second = await tryChat(listen(fleet.entries[1]), call);
+		const second = await tryChat(getCallerUrl(fleet.entries[1]), call);
 		await waitForReceipts(fleet);
-		const {runs} = await countEngines(fleet);
+		const {runs} = await sumEngineCounts(fleet);
 		const budget = await fleet.findBudget(city.budget);
 		return {
-			holds: Boolean(second?.isWhole) && isOwnText(second!.text, 300) && runs === 1 && budget.burnt === 0,
+			holds: Boolean(second?.isWhole) && isOwnAnswer(second!.text, 300) && runs === 1 && budget.burnt === 0,
 			figures: {
 				isWhole: Boolean(second?.isWhole), runs, billed: budget.billed, burnt: budget.burnt,
 			},
@@ -158,5 +158,5 @@
 	},
 };
 
-/** Proofs of delivery. */
+/** Proofs of answer delivery. */
 export const deliveryProofs: readonly Proof[] = [crossedAnswers, silentUpstreamLink, silentEngineLink, silentLogLink, silentLinkAndKilledEntry];
--- a/tools/prove/main.ts
+++ b/tools/prove/main.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run prove -- --list`, `npm run prove -- NAME [--json]`
+ * Command line of the proofs: `npm run prove -- --list`, `npm run prove -- NAME [--json]`.
  *
  * @module
  */
@@ -10,13 +10,13 @@
 import {proofs} from './proofs.js';
 import {runProof} from './proof.js';
 
-const unknownExitCode = 3;
+const unknownProofExitCode = 3;
 
-async function proveOne(name: string, isJson: boolean): Promise<boolean> {
+async function runAndPrintProof(name: string, isJson: boolean): Promise<boolean> {
 	const proof = proofs.find(candidate => candidate.name === name);
 	if (!proof) {
 		process.stderr.write(`There is no proof "${name}"; see npm run prove -- --list\n`);
-		process.exitCode = unknownExitCode;
+		process.exitCode = unknownProofExitCode;
 		return false;
 	}
 
@@ -33,7 +33,7 @@
 
 await run(command({
 	name: 'prove',
-	description: 'Runs a proof with its guard and without; both must come out as they should',
+	description: 'Runs a proof with its guard and without it; it must hold with the guard and fail without it',
 	args: {
 		name: positional({type: optional(string), displayName: 'NAME'}),
 		list: flag({long: 'list', description: 'list the proofs'}),
@@ -49,7 +49,7 @@
 
 		const names = all ? proofs.map(proof => proof.name) : [name!];
 		for (const each of names) {
-			const isProved = await proveOne(each, json);
+			const isProved = await runAndPrintProof(each, json);
 			process.exitCode ??= isProved ? undefined : 1;
 		}
 	},
--- a/tools/prove/proof.ts
+++ b/tools/prove/proof.ts
@@ -1,5 +1,9 @@
 /**
- * What a proof is, and how it is run with and without its guard.
+ * Defines proofs and runs them with and without their guard.
+ *
+ * A proof runs a scenario on a fleet of real processes and checks a promise. It is
+ * run a second time without the guard, the code that keeps the promise; the
+ * promise must then fail, which shows that the scenario depends on the guard.
  *
  * @module
  */
@@ -8,31 +12,32 @@
 import {join} from 'node:path';
 import {startFleet, type StartFleetOptions, type TestFleet} from '../harness/mod.js';
 
-/** Settings that suspect a silent peer within a second, so that proofs are short. */
-export const quick = {heartbeat: {every: '200ms', suspectAfter: '1s'}};
+/** Settings with which an unresponsive peer is suspected after one second, to keep proofs short. */
+export const fastSuspicion = {heartbeat: {every: '200ms', suspectAfter: '1s'}};
 
-/** Rows of the brief's list that proofs of several files prove. */
+/** A promise that proofs of several files check. */
 export const spendPromise = 'A customer\'s spend never exceeds its prepaid budget.';
+/** A measure that proofs of several files check. */
 export const refusalMeasure = 'False refusals: requests refused although budget remained.';
 
-/** Figures that a proof counted. */
+/** Figures that a run of a proof reports. */
 export type ProofFigures = Readonly<Record<string, number | string | boolean>>;
 
-/** What one run of a proof came to. */
+/** The outcome of one run of a proof. */
 export type ProofOutcome = {readonly holds: boolean; readonly figures: ProofFigures};
 
-/** A proof: a story, a fleet, and what must hold at its end. */
+/** A proof: a scenario, the fleet it runs on, and the check at its end. */
 export type Proof = {
 	readonly name: string;
-	/** What a user would see, the order of events, the cause. */
-	readonly story: string;
-	/** The row of the brief's list that it proves. */
+	/** The failure that the guard prevents: what a user would see, the order of events and the cause. */
+	readonly scenario: string;
+	/** The promise that the proof checks. */
 	readonly promise: string;
-	/** True when it is certain to be repeatable, and so runs in CI. */
+	/** True if the proof gives the same result in every run and therefore runs in CI. */
 	readonly isInCi: boolean;
 	readonly fleet: StartFleetOptions;
-	/** Modules that lack the guard, by the path of the module they replace. */
-	readonly withoutGuard: Readonly<Record<string, string>>;
+	/** Modules without the guard, by the path of the product module that they replace. */
+	readonly unguardedModules: Readonly<Record<string, string>>;
 	readonly run: (fleet: TestFleet) => Promise<ProofOutcome>;
 };
 
@@ -45,23 +50,23 @@
 };
 
 /**
- * Names a replacing module.
+ * Maps a product module to its replacement, for `unguardedModules`.
  *
  * @example
  * ```ts
- * replaceModule('src/state/request-table', 'table-that-forgets');
+ * replaceModule('src/state/request-table', 'request-table-without-lookup');
  * ```
  *
- * @param module The product's module, without its ending
- * @param unguarded The module under tools/prove/unguarded
- * @returns Both by path from the build folder
+ * @param productModule Path of the product module, without extension
+ * @param unguardedModule Name of the module under tools/prove/unguarded, without extension
+ * @returns The replacement, both paths relative to the build folder
  */
-export function replaceModule(module: string, unguarded: string): Record<string, string> {
-	return {[`${module}.js`]: `tools/prove/unguarded/${unguarded}.js`};
+export function replaceModule(productModule: string, unguardedModule: string): Record<string, string> {
+	return {[`${productModule}.js`]: `tools/prove/unguarded/${unguardedModule}.js`};
 }
 
 /** @internal */
-async function playProof(proof: Proof, fleet: TestFleet): Promise<ProofOutcome> {
+async function runScenario(proof: Proof, fleet: TestFleet): Promise<ProofOutcome> {
 	try {
 		return await proof.run(fleet);
 	} catch (error) {
@@ -69,8 +74,8 @@
 	}
 }
 
-/** @internal Keeps what each process wrote, for a run that may not come again. */
-function keepLogs(name: string, fleet: TestFleet): string {
+/** @internal Writes the log of each process to a temporary folder, as a failure may not be reproducible. */
+function saveLogs(name: string, fleet: TestFleet): string {
 	const folder = mkdtempSync(join(tmpdir(), `fireflylane-proof-${name}-`));
 	for (const [index, {name: writer, text}] of fleet.listLogs().entries()) {
 		writeFileSync(join(folder, `${index}-${writer}.log`), text);
@@ -80,8 +85,8 @@
 }
 
 /**
- * Runs a proof once. A run that comes out as it should not keeps the logs of
- * its processes, in the folder that its figure `logs` names.
+ * Runs a proof once. If the outcome is not the expected one, the logs of its
+ * processes are saved in the folder that the figure `logs` names.
  *
  * @example
  * ```ts
@@ -89,23 +94,23 @@
  * ```
  *
  * @param proof The proof
- * @param options Whether the guard is there
- * @returns Whether it held, with figures
+ * @param options Whether to run with the guard
+ * @returns Whether the promise held, with figures
  */
 export async function runOnce(proof: Proof, options: {readonly isGuarded: boolean}): Promise<ProofOutcome> {
 	const fleet = await startFleet({
 		...proof.fleet,
-		replace: {...proof.fleet.replace, ...options.isGuarded ? {} : proof.withoutGuard},
+		replace: {...proof.fleet.replace, ...options.isGuarded ? {} : proof.unguardedModules},
 	});
-	const outcome = await playProof(proof, fleet);
+	const outcome = await runScenario(proof, fleet);
 	await fleet.kill();
 	return outcome.holds === options.isGuarded
 		? outcome
-		: {...outcome, figures: {...outcome.figures, logs: keepLogs(proof.name, fleet)}};
+		: {...outcome, figures: {...outcome.figures, logs: saveLogs(proof.name, fleet)}};
 }
 
 /**
- * Runs a proof with its guard and without.
+ * Runs a proof with its guard and then without it.
  *
  * @example
  * ```ts
--- a/tools/prove/prove.test.ts
+++ b/tools/prove/prove.test.ts
@@ -4,10 +4,10 @@
 import {runProof} from './proof.js';
 import {proofs} from './proofs.js';
 
-// Known faults are passed over and printed, so that every other failure is news.
+// Proofs with a known fault are skipped and printed, so that any failure of this test is a new fault.
 const knownRed = readKnownRed();
-/** More than these are to be mended before anything new. */
-const mostKnownRed = 3;
+/** Maximum length of the list. A longer one must be reduced before other work. */
+const maxKnownRed = 3;
 
 function isKnownRed(proof: string): boolean {
 	return knownRed.some(({kind, name}) => kind === 'proof' && name === proof);
@@ -19,11 +19,11 @@
 
 test('KNOWN-RED.txt names proofs and tests that exist', () => {
 	expect(findBadLines(knownRed, proofs.map(({name}) => name))).toEqual([]);
-	expect(knownRed.length).toBeLessThanOrEqual(mostKnownRed);
+	expect(knownRed.length).toBeLessThanOrEqual(maxKnownRed);
 });
 
-// Each proof that is certain to be repeatable, with its guard and without.
-// Process proofs have bounds in wall time, so only a few run side by side.
+// Runs each repeatable proof with its guard and without it. Proofs have timeouts
+// in real time, so only a few of them run concurrently.
 for (const proof of proofs.filter(candidate => candidate.isInCi && !isKnownRed(candidate.name))) {
 	test.concurrent(`proof ${proof.name} holds with its guard and fails without`, {timeout: 150_000}, async () => {
 		const result = await runProof(proof);
--- a/tools/prove/replace-hooks.ts
+++ b/tools/prove/replace-hooks.ts
@@ -1,5 +1,5 @@
 /**
- * Module hooks that send an import of one module to another.
+ * Module hooks that resolve imports of a product module to its replacement.
  *
  * @module
  */
@@ -12,12 +12,12 @@
 const buildFolder = new URL('../../', import.meta.url).href;
 
 /**
- * Resolves an import; the replacing module itself still gets the original.
+ * Resolves an import. The replacement itself still imports the original module.
  *
- * @param specifier What is imported
- * @param context Who imports it
- * @param nextResolve The usual way
- * @returns Where the module is
+ * @param specifier The import specifier
+ * @param context The importing module
+ * @param nextResolve The default resolution
+ * @returns The URL of the module or of its replacement
  */
 export async function resolve(specifier: string, context: {readonly parentURL?: string}, nextResolve: NextResolve): Promise<Resolved> {
 	const resolved = await nextResolve(specifier, context);
--- a/tools/prove/replace.ts
+++ b/tools/prove/replace.ts
@@ -1,6 +1,7 @@
 /**
- * Loaded before a daemon in a proof without its guard: replaces modules of the
- * product by others that lack the guard. The product itself has no switch.
+ * Registers the module hooks that replace product modules by ones without their
+ * guard. It is loaded with `--import` before the daemon, so the product itself
+ * needs no switch for proofs.
  *
  * @module
  */
--- a/tools/prove/count.ts
+++ b/tools/prove/scenario-steps.ts
@@ -1,28 +1,29 @@
 /**
- * Counting at the stand-ins' own records, and callers that spend a budget.
+ * Steps that several scenarios share: configuring the fleet, sending requests, and
+ * reading the counts of the stand-ins and the state of the daemons.
  *
  * @module
  */
 import {setTimeout as wait} from 'node:timers/promises';
 import {
-	askChat, fetchDocument, waitUntil, type AskChatOptions, type BudgetFigures, type CallerAnswer, type FleetDaemon, type TestFleet,
+	askChat, fetchDocument, waitUntil, type RequestChatOptions, type BudgetAmounts, type CallerAnswer, type FleetDaemon, type TestFleet,
 } from '../harness/mod.js';
 
-/** The customer of most proofs. */
+/** The customer that most proofs use. */
 export const city = {name: 'city', key: 'city-key', budget: 'city-budget'} as const;
 
-const ampleTokens = 1_000_000;
+const defaultBudgetTokens = 1_000_000;
 
-/** Sets up the city with an ample budget. */
-export async function configureCity(fleet: TestFleet, tokens = ampleTokens): Promise<void> {
+/** Configures the customer `city` with a budget that is ample by default. */
+export async function configureCity(fleet: TestFleet, tokens = defaultBudgetTokens): Promise<void> {
 	await fleet.configure([{name: city.name, key: city.key, tokens}]);
 }
 
-/** What the engines counted. */
+/** Counts that the engines keep. */
 export type EngineCounts = Readonly<Record<'runs' | 'tokens' | 'cancelled' | 'resumed' | 'repeats' | 'cacheHits', number>>;
 
-/** Sums what all engines counted. */
-export async function countEngines(fleet: TestFleet): Promise<EngineCounts> {
+/** Sums the counts of all engines. */
+export async function sumEngineCounts(fleet: TestFleet): Promise<EngineCounts> {
 	const total: Record<string, number> = {};
 	for (const upstream of fleet.upstreams.filter(item => item.id.startsWith('up-model'))) {
 		const counts = await fetchDocument<Record<string, number>>(`${upstream.standIn.ready.url}/counts`);
@@ -34,12 +35,12 @@
 	return total as EngineCounts;
 }
 
-/** A budget as one entry shows it. */
-export async function readBudget(entry: FleetDaemon, budget: string): Promise<BudgetFigures> {
-	return fetchDocument<BudgetFigures>(`${entry.process.ready.operators}/v1/budgets/${budget}`);
+/** Reads the amounts of a budget from one entry daemon. */
+export async function readBudget(entry: FleetDaemon, budget: string): Promise<BudgetAmounts> {
+	return fetchDocument<BudgetAmounts>(`${entry.process.ready.operators}/v1/budgets/${budget}`);
 }
 
-/** Counts how often each booking was executed, by the services' own records. */
+/** Counts the executions of each booking in the records of the booking services. */
 export async function countBookings(fleet: TestFleet): Promise<Map<string, number>> {
 	const counts = new Map<string, number>();
 	for (const upstream of fleet.upstreams.filter(item => item.id.startsWith('up-service'))) {
@@ -52,13 +53,13 @@
 	return counts;
 }
 
-/** The address of a daemon for callers. */
-export function listen(entry: FleetDaemon | undefined): string {
+/** Returns the caller URL of an entry daemon. */
+export function getCallerUrl(entry: FleetDaemon | undefined): string {
 	return entry!.process.ready.callers;
 }
 
-/** Sets the log service's faults. */
-export async function setLog(fleet: TestFleet, control: Record<string, unknown>): Promise<void> {
+/** Sets simulated faults of the log service. */
+export async function controlLog(fleet: TestFleet, control: Record<string, unknown>): Promise<void> {
 	await fetchDocument(`${fleet.log.ready.url}/control`, control);
 }
 
@@ -67,18 +68,18 @@
 	return fetchDocument<{isReady: boolean; version: number; figures: Record<string, number>; events: Record<string, number>}>(`${daemon.process.ready.operators}/v1/status`);
 }
 
-/** Waits until the daemons' receipts are on the log and every entry has folded them. */
+/** Waits until the receipts of the daemons are recorded in the log and every entry has folded them. */
 export async function waitForReceipts(fleet: TestFleet): Promise<void> {
 	await waitUntil(async () => {
 		const live = fleet.upstreams.filter(upstream => !upstream.process.hasExited());
 		const statuses = await Promise.all(live.map(async upstream => readStatus(upstream)));
 		return statuses.every(({figures}) => figures.receiptsWaiting === 0 && figures.running === 0);
-	}, 'all receipts are on the log');
+	}, 'all receipts are recorded in the log');
 	await wait(300);
 }
 
-/** Asks without throwing when the connection breaks. */
-export async function tryChat(url: string, options: Omit<AskChatOptions, 'key'>): Promise<CallerAnswer | undefined> {
+/** Requests a chat completion as `city`; returns `undefined` if the connection fails. */
+export async function tryChat(url: string, options: Omit<RequestChatOptions, 'key'>): Promise<CallerAnswer | undefined> {
 	try {
 		return await askChat(url, {key: city.key, ...options});
 	} catch {
@@ -86,51 +87,51 @@
 	}
 }
 
-/** Starts a stream and waits for its first chunk; returns the promise of its outcome. */
-export async function beginStream(url: string, options: Omit<AskChatOptions, 'key'>): Promise<{readonly outcome: Promise<CallerAnswer | undefined>}> {
-	let begin: () => void = () => undefined;
-	const hasBegun = new Promise<void>(resolve => {
-		begin = resolve;
+/** Starts a stream and waits for its first chunk; returns a promise of the outcome. */
+export async function startStream(url: string, options: Omit<RequestChatOptions, 'key'>): Promise<{readonly outcome: Promise<CallerAnswer | undefined>}> {
+	let reportFirstChunk: () => void = () => undefined;
+	const firstChunkReceived = new Promise<void>(resolve => {
+		reportFirstChunk = resolve;
 	});
-	const outcome = tryChat(url, {...options, stream: true, onFirst: begin});
-	await hasBegun;
+	const outcome = tryChat(url, {...options, stream: true, onFirst: reportFirstChunk});
+	await firstChunkReceived;
 	return {outcome};
 }
 
 /** Options of {@linkcode spendUntilRefused}. */
 export type SpendOptions = {
-	/** Requests at most. */
-	readonly limit: number;
-	/** Refusals in a row that end it; default 2. */
-	readonly refusals?: number;
+	/** Maximum number of requests. */
+	readonly maxRequests: number;
+	/** Number of consecutive refusals after which to stop; default 2. */
+	readonly maxRefusals?: number;
 	readonly content?: string;
 	readonly maxTokens?: number;
 	readonly deadline?: string;
 };
 
-/** Asks one request after the other until the budget is spent; returns the answers. */
+/** Sends requests one after the other until they are refused; returns the answers. */
 export async function spendUntilRefused(url: string, options: SpendOptions): Promise<CallerAnswer[]> {
 	const answers: CallerAnswer[] = [];
-	let refused = 0;
-	while (answers.length < options.limit && refused < (options.refusals ?? 2)) {
+	let consecutiveRefusals = 0;
+	while (answers.length < options.maxRequests && consecutiveRefusals < (options.maxRefusals ?? 2)) {
 		const answer = await tryChat(url, {content: options.content ?? 'answer 20', maxTokens: options.maxTokens ?? 20, deadline: options.deadline ?? '8s'});
 		if (answer) {
 			answers.push(answer);
 		}
 
-		refused = answer?.isWhole ? 0 : refused + 1;
+		consecutiveRefusals = answer?.isWhole ? 0 : consecutiveRefusals + 1;
 	}
 
 	return answers;
 }
 
-/** Describes each refusal among answers by its status and reason. */
+/** Lists the refusals among the answers with status and reason. */
 export function describeRefusals(answers: ReadonlyArray<CallerAnswer | undefined>): string {
 	const refusals = answers.filter(answer => !answer?.isWhole);
-	return refusals.map(answer => answer ? `${answer.status} ${answer.problem?.detail ?? ''}` : 'connection broke').join('; ');
+	return refusals.map(answer => answer ? `${answer.status} ${answer.problem?.detail ?? ''}` : 'connection failed').join('; ');
 }
 
-/** Sums the tokens that whole answers say they cost. */
+/** Sums the tokens that complete answers report as used. */
 export function sumTokens(answers: ReadonlyArray<CallerAnswer | undefined>): number {
 	let sum = 0;
 	for (const answer of answers) {
@@ -140,8 +141,8 @@
 	return sum;
 }
 
-/** Tells whether a text is the engine's whole answer to one request: one name, all indexes. */
-export function isOwnText(text: string, tokens: number): boolean {
+/** Returns whether a text is the complete answer of an engine to one request: each word has the name of the same run and the next index. */
+export function isOwnAnswer(text: string, tokens: number): boolean {
 	const parts = text.trim().split(' ');
 	const names = new Set(parts.map(part => part.slice(0, part.lastIndexOf('-'))));
 	return parts.length === tokens && names.size === 1 && parts.every((part, index) => part.endsWith(`-${index}`));
--- a/tools/prove/unguarded/runner-that-always-reserves.ts
+++ b/tools/prove/unguarded/attempt-runner-without-attach.ts
@@ -1,6 +1,8 @@
 /**
- * Reserves tokens for each sending, also of a request that has run. For a
- * proof without its guard.
+ * Attempt runner that reserves tokens for each attempt, even if the request has
+ * already run.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/configuration-without-basis.ts
+++ b/tools/prove/unguarded/configuration-without-basis-check.ts
@@ -1,5 +1,8 @@
 /**
- * Takes every confirmation, whatever it rests on and however often it comes. For a proof without its guard.
+ * Configuration that accepts every confirmation, whatever version the plan is
+ * based on and even if it was confirmed before.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/engine-client-that-waits.ts
+++ b/tools/prove/unguarded/engine-client-without-idle-timeout.ts
@@ -1,5 +1,7 @@
 /**
- * Waits for a silent engine for good. For a proof without its guard.
+ * Engine client that waits forever for an unresponsive engine.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/engine-limit-unread.ts
+++ b/tools/prove/unguarded/engine-limit-ignored.ts
@@ -1,5 +1,7 @@
 /**
- * Lets an engine generate as much as it will. For a proof without its guard.
+ * Engine limit that ignores the token limit of the request.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/fleet-client-that-waits.ts
+++ b/tools/prove/unguarded/fleet-client-without-abandon.ts
@@ -1,5 +1,7 @@
 /**
- * Keeps a silent connection between daemons. For a proof without its guard.
+ * Fleet client that never abandons an unresponsive connection between daemons.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/frames-unchecked.ts
+++ b/tools/prove/unguarded/frame-check-disabled.ts
@@ -1,5 +1,7 @@
 /**
- * Passes every frame on. For a proof without its guard.
+ * Frame check that accepts every frame and every answer.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/policy-that-asks-first.ts
+++ b/tools/prove/unguarded/grant-policy-log-first.ts
@@ -1,5 +1,7 @@
 /**
- * Asks the log for every request. For a proof without its guard.
+ * Grant policy that claims tokens from the log for each request instead of ahead.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/ledger-without-batch-numbers.ts
+++ b/tools/prove/unguarded/ledger-without-deduplication.ts
@@ -1,5 +1,8 @@
 /**
- * Folds every copy of a batch of receipts. For a proof without its guard.
+ * Ledger that folds every copy of a batch of receipts, as it ignores their
+ * sequence numbers.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/desk-that-takes-silence-for-no.ts
+++ b/tools/prove/unguarded/loan-manager-without-incomplete-search.ts
@@ -1,6 +1,8 @@
 /**
- * Takes a lender that does not answer for one that has nothing. For a proof
- * without its guard.
+ * Loan manager that treats a lender that does not answer like one without free
+ * tokens: it reports every search for a lender as complete.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
@@ -9,11 +11,11 @@
 export * from '../../../src/coordination/loan-manager.js';
 
 export function createLoanManager(options: CreateLoanManagerOptions): LoanManager {
-	const desk = createGuarded(options);
+	const manager = createGuarded(options);
 	return {
-		...desk,
+		...manager,
 		async borrow(budget, amount) {
-			const search = await desk.borrow(budget, amount);
+			const search = await manager.borrow(budget, amount);
 			return {...search, isComplete: true};
 		},
 	};
--- a/tools/prove/unguarded/log-client-that-waits.ts
+++ b/tools/prove/unguarded/log-client-without-timeout.ts
@@ -1,5 +1,8 @@
 /**
- * Waits for a silent log for good. For a proof without its guard.
+ * Log client whose timeout of 1000 s is longer than any proof, so that it keeps
+ * waiting for an unresponsive log.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
@@ -7,8 +10,8 @@
 
 export * from '../../../src/transport/log-client.js';
 
-const longWait = 1_000_000;
+const longTimeoutMs = 1_000_000;
 
 export function createLogClient(options: CreateLogClientOptions): LogClient {
-	return createGuarded({...options, timeoutMs: longWait});
+	return createGuarded({...options, timeoutMs: longTimeoutMs});
 }
--- a/tools/prove/unguarded/writer-that-repeats-blindly.ts
+++ b/tools/prove/unguarded/log-writer-with-blind-retry.ts
@@ -1,5 +1,8 @@
 /**
- * Repeats an append whose answer was lost without looking for it. For a proof without its guard.
+ * Log writer that repeats an append whose answer was lost without checking whether
+ * the record is already in the log.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/membership-without-relay.ts
+++ b/tools/prove/unguarded/membership-without-relay.ts
@@ -1,5 +1,7 @@
 /**
- * Takes no records from peers. For a proof without its guard.
+ * Membership that fetches no log records from peers.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/reporter-without-fence.ts
+++ b/tools/prove/unguarded/receipt-reporter-without-fence.ts
@@ -1,5 +1,7 @@
 /**
- * Accepts work under closed grants. For a proof without its guard.
+ * Receipt reporter that accepts work under fenced grants.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/reclaimer-that-rests.ts
+++ b/tools/prove/unguarded/reclaimer-disabled.ts
@@ -1,5 +1,7 @@
 /**
- * Leaves the grants of lost holders alone. For a proof without its guard.
+ * Reclaimer that never reclaims the grants of failed holders.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/table-that-forgets-failures.ts
+++ b/tools/prove/unguarded/request-table-without-failures.ts
@@ -1,5 +1,7 @@
 /**
- * Forgets failed requests, as if they could be run again. For a proof without its guard.
+ * Request table that removes failed requests, so that a retry runs them again.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/table-that-forgets.ts
+++ b/tools/prove/unguarded/request-table-without-lookup.ts
@@ -1,5 +1,7 @@
 /**
- * Finds no request again. For a proof without its guard.
+ * Request table that reports every request as unknown, so that a retry runs again.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/runner-without-register.ts
+++ b/tools/prove/unguarded/service-runner-without-permit.ts
@@ -1,5 +1,7 @@
 /**
- * Runs every call without asking the log. For a proof without its guard.
+ * Service runner that runs every call without obtaining a permit from the log.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/settler-that-rests.ts
+++ b/tools/prove/unguarded/settler-disabled.ts
@@ -1,5 +1,7 @@
 /**
- * Never finds out what lost attempts cost. For a proof without its guard.
+ * Settler that never determines the cost of lost attempts.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/snapshotter-that-rests.ts
+++ b/tools/prove/unguarded/snapshotter-disabled.ts
@@ -1,5 +1,7 @@
 /**
- * Appends no snapshots. For a proof without its guard.
+ * Snapshotter that appends no snapshots.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
--- a/tools/prove/unguarded/upstream-interface-that-crosses.ts
+++ b/tools/prove/unguarded/upstream-interface-with-crossed-frames.ts
@@ -1,6 +1,6 @@
 /**
- * Sends chunks of one request into the streams of others, as a fault that the
- * entry's checks must catch.
+ * Upstream interface that sends chunks of one request into the streams of others,
+ * to simulate a faulty daemon. The frame check of the entry must drop them.
  *
  * @module
  */
@@ -12,18 +12,18 @@
 
 type Frame = MessageInitShape<typeof RunFrameSchema>;
 
-export function createUpstreamInterface(self: Self, desk: RequestExecutor): ServiceImpl<typeof Upstream> {
-	const guarded = createGuarded(self, desk);
-	let stray: Frame | undefined;
+export function createUpstreamInterface(self: Self, executor: RequestExecutor): ServiceImpl<typeof Upstream> {
+	const guarded = createGuarded(self, executor);
+	let strayFrame: Frame | undefined;
 	return {
 		...guarded,
 		async * run(request, context) {
 			for await (const frame of guarded.run(request, context)) {
-				if (stray && stray.requestId !== request.requestId) {
-					yield stray;
+				if (strayFrame && strayFrame.requestId !== request.requestId) {
+					yield strayFrame;
 				}
 
-				stray = frame.body?.case === 'chunk' ? frame : stray;
+				strayFrame = frame.body?.case === 'chunk' ? frame : strayFrame;
 				yield frame;
 			}
 		},
--- a/tools/prove/unguarded/stop-that-does-not-wait.ts
+++ b/tools/prove/unguarded/wait-until-idle-disabled.ts
@@ -1,5 +1,7 @@
 /**
- * Does not wait for running requests. For a proof without its guard.
+ * Shutdown step that does not wait for running requests.
+ *
+ * For proofs that run without the guard.
  *
  * @module
  */
