--- a/src/coordination/budget-manager.test.ts
+++ b/src/coordination/budget-manager.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
-import {createFakeKeyedLog, type AppendFate, type FakeKeyedLog} from '../../tools/harness/fake-keyed-log.js';
+import {createFakeKeyedLog, type AppendBehavior, type FakeKeyedLog} from '../../tools/harness/fake-keyed-log.js';
 import type {Deployment, EventLog} from '../protocol/mod.js';
 import {
 	createGrantRegistry, createRouteTable, createTokenAccount, holderRecordSchema, type PeerView, type RouteTable, type TokenReservation,
@@ -137,7 +137,7 @@
 	{weight: 4, arbitrary: fc.record({kind: fc.constant('settle' as const), index: indexArbitrary, share: fc.double({min: 0, max: 1, noNaN: true})})},
 	{weight: 3, arbitrary: fc.record({kind: fc.constant('renew' as const), index: indexArbitrary})},
 	{weight: 1, arbitrary: fc.record({kind: fc.constant('kill' as const), index: indexArbitrary})},
-	{weight: 3, arbitrary: fc.record({kind: fc.constant('fate' as const), fate: fc.constantFrom<AppendFate>('lost-after', 'lost-before', 'late')})},
+	{weight: 3, arbitrary: fc.record({kind: fc.constant('fate' as const), fate: fc.constantFrom<AppendBehavior>('lost-after', 'lost-before', 'late')})},
 	{weight: 2, arbitrary: fc.record({kind: fc.constant('release-late' as const)})},
 	{weight: 1, arbitrary: fc.record({kind: fc.constant('away' as const), isAway: fc.constantFrom(true, false, false)})},
 	{weight: 1, arbitrary: fc.record({kind: fc.constant('top-up' as const), amount: fc.integer({min: 1, max: 1000})})},
@@ -194,17 +194,17 @@
 				}
 
 				case 'fate': {
-					simulation.log.fates.push(step.fate);
+					simulation.log.appendBehaviors.push(step.fate);
 					break;
 				}
 
 				case 'release-late': {
-					simulation.log.releaseLate();
+					simulation.log.applyDelayedAppends();
 					break;
 				}
 
 				case 'away': {
-					simulation.log.isAway = step.isAway;
+					simulation.log.isUnavailable = step.isAway;
 					break;
 				}
 
@@ -224,7 +224,7 @@
 	// Guards against a refusal although tokens remain, after the append of a
 	// claim took effect but its answer was lost.
 	const simulation = await createSimulation(1000);
-	simulation.log.fates.push('lost-after');
+	simulation.log.appendBehaviors.push('lost-after');
 	const reservation = await simulation.gateways[0]!.manager.acquire(customer, 300, {timeoutMs: 300});
 	expect(reservation.ok).toBe(true);
 	expect(simulation.log.records.length).toBe(simulation.firstRecord + 1);
@@ -238,7 +238,7 @@
 	simulation.gateways[1]!.manager.settle(held.unwrap(), 10);
 	await simulation.gateways[0]!.manager.acquire(customer, 100, {timeoutMs: 300});
 	const free = simulation.gateways[0]!.account.countFreeTokens(customer);
-	simulation.log.isAway = true;
+	simulation.log.isUnavailable = true;
 	const reservation = await simulation.gateways[0]!.manager.acquire(customer, free + 500, {timeoutMs: 300});
 	expect(reservation.ok).toBe(true);
 });
--- a/src/coordination/quarantine-recorder.test.ts
+++ b/src/coordination/quarantine-recorder.test.ts
@@ -95,10 +95,10 @@
 
 test('a record that could not be written is written when the log is available again', async () => {
 	const {time, log, stopper, crash} = startGateway();
-	log.isAway = true;
+	log.isUnavailable = true;
 	crash('d1', 3);
 	await time.runUntil(5000);
-	log.isAway = false;
+	log.isUnavailable = false;
 	await time.runUntil(7500);
 	expect(log.records).toHaveLength(1);
 	stopper.abort();
--- a/src/coordination/quarantine-soak.test.ts
+++ b/src/coordination/quarantine-soak.test.ts
@@ -129,7 +129,7 @@
 		time, random, log, gateways, upstreams, stopper, crash, restart,
 		isStable: (gateway: typeof gateways[number]) => !gateway.isPartitioned && time.now() - Math.max(gateway.lastFaultAt, lastStoreFaultAt) >= stabilityWindowMs,
 		setStoreUnavailable(isUnavailable: boolean) {
-			log.isAway = isUnavailable;
+			log.isUnavailable = isUnavailable;
 			lastStoreFaultAt = time.now();
 		},
 	};
--- a/src/coordination/relayed-log.test.ts
+++ b/src/coordination/relayed-log.test.ts
@@ -15,7 +15,7 @@
 	let isDirectPathUnresponsive = false;
 	const reachedPaths: string[] = [];
 	const cutStore = createFakeKeyedLog();
-	cutStore.isAway = true;
+	cutStore.isUnavailable = true;
 	let wakeSleeper: () => void = () => undefined;
 	const clock = {
 		now: () => now,
@@ -75,7 +75,7 @@
 
 test('an append sent on both paths takes effect once', async () => {
 	const fixture = createFixture();
-	fixture.store.fates.push('lost-after');
+	fixture.store.appendBehaviors.push('lost-after');
 	const outcome = await fixture.log.append({key: 'a', value: '1'}, {expectedEnd: 0});
 	expect(outcome.kind).toBe('behind');
 	expect(fixture.store.records.length).toBe(1);
@@ -148,7 +148,7 @@
 	store.records.push({key: 'a', value: '1', offset: 0}, {key: 'b', value: '1', offset: 1});
 	await follower.catchUp(signal);
 	store.records.push({key: 'a', offset: 2}, {key: 'c', value: '1', offset: 3});
-	store.first = 3;
+	store.firstOffset = 3;
 	await follower.catchUp(signal);
 	expect([...known].toSorted()).toEqual(['b', 'c']);
 });
--- a/src/daemon/end-to-end.test.ts
+++ b/src/daemon/end-to-end.test.ts
@@ -9,7 +9,7 @@
 	afterAll, beforeAll, expect, test,
 } from 'vitest';
 import {
-	askChat, bookSlot, fetchDocument, fleetKeys, startFleet, type TestFleet,
+	requestChat, bookSlot, fetchDocument, fleetKeys, startFleet, type TestFleet,
 } from '../../tools/harness/mod.js';
 import type {Problem} from '../protocol/mod.js';
 
@@ -95,7 +95,7 @@
 
 	const after = await fetchDocument<{runs: number}>(`${fleet.upstreams[0]!.standIn.ready.url}/counts`);
 	expect(after.runs).toBe(before.runs);
-	const next = await askChat(callers, {key, content: 'answer 3'});
+	const next = await requestChat(callers, {key, content: 'answer 3'});
 	expect(next.isWhole).toBe(true);
 });
 /* eslint-enable @typescript-eslint/naming-convention */
@@ -103,7 +103,7 @@
 test('a request on a spent budget is refused with the time after which to retry', async () => {
 	const answers = [];
 	for (let index = 0; index < 12; index++) {
-		answers.push(await askChat(callers, {key: 'village-key', content: 'answer 20'}));
+		answers.push(await requestChat(callers, {key: 'village-key', content: 'answer 20'}));
 	}
 
 	const refused = answers.filter(answer => !answer.isWhole);
--- a/src/daemon/upstream-stop.test.ts
+++ b/src/daemon/upstream-stop.test.ts
@@ -1,7 +1,7 @@
 import {setTimeout as wait} from 'node:timers/promises';
 import {afterEach, expect, test} from 'vitest';
 import {
-	askChat, bookSlot, fetchDocument, startFleet, type TestFleet,
+	requestChat, bookSlot, fetchDocument, startFleet, type TestFleet,
 } from '../../tools/harness/mod.js';
 
 const key = 'city-key';
@@ -27,11 +27,11 @@
 	const started = new Promise<void>(resolve => {
 		resolveStarted = resolve;
 	});
-	const answer = askChat(entry.ready.callers, {
-		key, content: 'answer 400', maxTokens: 400, stream: true, deadline: '30s', onFirst: resolveStarted,
+	const answer = requestChat(entry.ready.callers, {
+		key, content: 'answer 400', maxTokens: 400, stream: true, deadline: '30s', onFirstChunk: resolveStarted,
 	});
 	await started;
-	entry.freeze();
+	entry.pause();
 	const exited = upstream.stop();
 	await wait(2500);
 	entry.resume();
--- a/tools/demo/main.ts
+++ b/tools/demo/main.ts
@@ -7,7 +7,7 @@
  */
 import process from 'node:process';
 import {
-	askChat, bookSlot, fetchDocument, fleetKeys, startFleet, type CallerAnswer, type TestFleet,
+	requestChat, bookSlot, fetchDocument, fleetKeys, startFleet, type CallerResponse, type TestFleet,
 } from '../harness/mod.js';
 import {runPlatformDemo} from '../../platform/demo.js';
 import {pickPercentile, roundTo} from '../measure/report.js';
@@ -21,7 +21,7 @@
 	},
 ];
 
-type CustomerResponses = {chats: CallerAnswer[]; bookings: CallerAnswer[]};
+type CustomerResponses = {chats: CallerResponse[]; bookings: CallerResponse[]};
 type Row = Record<string, string | number>;
 
 const bookingCost = 50;
@@ -35,7 +35,7 @@
 		responsesByCustomer.set(customer.name, responses);
 		const pickEntry = (index: number) => fleet.entries[index % fleet.entries.length]!.process.ready.callers;
 		for (let round = 0; round < roundCount; round++) {
-			const batch = [0, 1, 2].map(async index => askChat(pickEntry(round + index), {
+			const batch = [0, 1, 2].map(async index => requestChat(pickEntry(round + index), {
 				key: customer.key, content: `Question ${round} of ${customer.name}: answer 20`, maxTokens: 40, stream: index > 0,
 			}));
 			responses.chats.push(...await Promise.all(batch));
@@ -79,7 +79,7 @@
 
 // A streamed response does not contain its cost, so the check of billed tokens assumes at least one token for each
 // complete response.
-function countComplete(responses: readonly CallerAnswer[]): number {
+function countComplete(responses: readonly CallerResponse[]): number {
 	return responses.filter(response => response.isWhole).length;
 }
 
@@ -89,7 +89,7 @@
 	const faults: string[] = [];
 	for (const customer of customers) {
 		const responses = responsesByCustomer.get(customer.name)!;
-		const budget = await fleet.findBudget(`${customer.name}-budget`);
+		const budget = await fleet.readBudget(`${customer.name}-budget`);
 		const all = [...responses.chats, ...responses.bookings];
 		const served = all.filter(response => response.isWhole);
 		const refused = all.filter(response => response.status === 429);
--- a/tools/harness/caller.ts
+++ b/tools/harness/caller.ts
@@ -6,7 +6,7 @@
 import type {Problem} from '../../src/protocol/mod.js';
 
 /** A response as a caller received it. */
-export type CallerAnswer = {
+export type CallerResponse = {
 	readonly status: number;
 	/** Generated text of a chat completion, or the response body of a booking. */
 	readonly text: string;
@@ -27,10 +27,10 @@
 	readonly deadline?: string;
 	readonly signal?: AbortSignal;
 	/** Called when the first chunk of a stream arrives. */
-	readonly onFirst?: () => void;
+	readonly onFirstChunk?: () => void;
 };
 
-/** Options of {@linkcode askChat}. */
+/** Options of {@linkcode requestChat}. */
 export type RequestChatOptions = CallOptions & {
 	readonly content: string;
 	readonly maxTokens?: number;
@@ -50,7 +50,7 @@
 	};
 }
 
-type StreamOutcome = Pick<CallerAnswer, 'text' | 'problem' | 'tokens' | 'firstMs' | 'isWhole'>;
+type StreamOutcome = Pick<CallerResponse, 'text' | 'problem' | 'tokens' | 'firstMs' | 'isWhole'>;
 
 /** @internal */
 async function readStream(response: Response, startedAt: number, onFirstChunk?: () => void): Promise<StreamOutcome> {
@@ -93,7 +93,7 @@
  *
  * @example
  * ```ts
- * await askChat(entry.ready.callers, {key: 'k', content: 'answer 20'});
+ * await requestChat(entry.ready.callers, {key: 'k', content: 'answer 20'});
  * ```
  *
  * @param url The caller URL of an entry daemon
@@ -101,7 +101,7 @@
  * @returns The response
  * @throws If the connection fails or the call times out
  */
-export async function askChat(url: string, options: RequestChatOptions): Promise<CallerAnswer> {
+export async function requestChat(url: string, options: RequestChatOptions): Promise<CallerResponse> {
 	const startedAt = performance.now();
 	const response = await fetch(`${url}/v1/chat/completions`, {
 		method: 'POST', headers: buildHeaders(options), signal: options.signal ?? AbortSignal.timeout(callTimeoutMs),
@@ -115,7 +115,7 @@
 	});
 	const head = {status: response.status, retryAfter: response.headers.get('retry-after') ?? undefined};
 	if (response.ok && options.stream) {
-		const outcome = await readStream(response, startedAt, options.onFirst);
+		const outcome = await readStream(response, startedAt, options.onFirstChunk);
 		return {...head, ...outcome, totalMs: performance.now() - startedAt};
 	}
 
@@ -143,7 +143,7 @@
  * @returns The response
  * @throws If the connection fails or the call times out
  */
-export async function bookSlot(url: string, options: BookSlotOptions): Promise<CallerAnswer> {
+export async function bookSlot(url: string, options: BookSlotOptions): Promise<CallerResponse> {
 	const startedAt = performance.now();
 	const response = await fetch(`${url}/v1/services/bookings`, {
 		method: 'POST', headers: buildHeaders(options), signal: options.signal ?? AbortSignal.timeout(callTimeoutMs), body: JSON.stringify({booking: options.booking}),
--- a/tools/harness/fake-keyed-log.ts
+++ b/tools/harness/fake-keyed-log.ts
@@ -13,19 +13,19 @@
  * answer (`lost-after`), has no effect and no answer (`lost-before`), or takes
  * effect later without an answer (`late`).
  */
-export type AppendFate = 'done' | 'lost-after' | 'lost-before' | 'late';
+export type AppendBehavior = 'done' | 'lost-after' | 'lost-before' | 'late';
 
 /** An in-memory keyed log with simulated faults. */
 export type FakeKeyedLog = {
 	readonly records: StoredRecord[];
 	/** Behavior of the next appends, in order; the appends after them succeed. */
-	readonly fates: AppendFate[];
+	readonly appendBehaviors: AppendBehavior[];
 	/** Applies the delayed appends whose condition still holds. */
-	readonly releaseLate: () => void;
+	readonly applyDelayedAppends: () => void;
 	/** While true, reads and appends fail and nothing is stored. */
-	isAway: boolean;
+	isUnavailable: boolean;
 	/** First retained offset; reads from an earlier one fail with `gone`. */
-	first: number;
+	firstOffset: number;
 	/** Called when an append arrives, before it takes effect. */
 	onAppend: () => void;
 	/** Creates a client of this log. */
@@ -58,11 +58,11 @@
 	}
 
 	function simulateAppend(record: KeyedRecord, expectedEnd: number | undefined): AppendOutcome {
-		if (fake.isAway) {
+		if (fake.isUnavailable) {
 			return {kind: 'unknown', failure: unavailable};
 		}
 
-		const behavior = fake.fates.shift() ?? 'done';
+		const behavior = fake.appendBehaviors.shift() ?? 'done';
 		if (behavior === 'done') {
 			return appendIfExpected(record, expectedEnd);
 		}
@@ -83,24 +83,24 @@
 
 	const fake: FakeKeyedLog = {
 		records,
-		fates: [],
-		isAway: false,
-		first: 0,
+		appendBehaviors: [],
+		isUnavailable: false,
+		firstOffset: 0,
 		onAppend: () => undefined,
-		releaseLate() {
+		applyDelayedAppends() {
 			for (const {record, expectedEnd} of delayedAppends.splice(0)) {
 				appendIfExpected(record, expectedEnd);
 			}
 		},
 		open: () => ({
 			name: 'fake',
-			readNewest: async () => fake.isAway ? Err(unavailable) : Ok({records: listNewest(), end: records.length}),
+			readNewest: async () => fake.isUnavailable ? Err(unavailable) : Ok({records: listNewest(), end: records.length}),
 			async read(from) {
-				if (fake.isAway) {
+				if (fake.isUnavailable) {
 					return Err({kind: 'away', failure: unavailable});
 				}
 
-				return from < fake.first ? Err({kind: 'gone'}) : Ok({records: records.slice(from), end: records.length});
+				return from < fake.firstOffset ? Err({kind: 'gone'}) : Ok({records: records.slice(from), end: records.length});
 			},
 			async append(record, {expectedEnd}) {
 				fake.onAppend();
--- a/tools/harness/fleet.ts
+++ b/tools/harness/fleet.ts
@@ -32,7 +32,7 @@
 	/** Settings that override `upstream` of every upstream daemon. */
 	readonly upstreamSettings?: Record<string, unknown>;
 	/** Product modules to replace in every daemon, as paths relative to the build folder; for proofs that run without a guard. */
-	readonly replace?: Readonly<Record<string, string>>;
+	readonly replacedModules?: Readonly<Record<string, string>>;
 	/** Whether a TCP proxy is placed between each daemon and the log, and in front of each daemon's peer address, so that links can be partitioned; default false. */
 	readonly hasProxies?: boolean;
 	readonly showLog?: boolean;
@@ -147,7 +147,7 @@
 		const path = join(folder, `${id}.yaml`);
 		writeFileSync(path, stringify(settings));
 		const daemon = await startProcess(id, {
-			file: daemonProgram, args: ['--settings', path], showLog, environment: secrets, replacedModules: options.replace,
+			file: daemonProgram, args: ['--settings', path], showLog, environment: secrets, replacedModules: options.replacedModules,
 		});
 		peerProxy?.setTarget(`http://${daemon.ready.peers}`);
 		processes.push(daemon);
@@ -290,7 +290,7 @@
 			await waitForPeers();
 		},
 
-		async findBudget(budget: string) {
+		async readBudget(budget: string) {
 			return fetchDocument<BudgetAmounts>(`${pickOperatorUrl()}/v1/budgets/${budget}`);
 		},
 
--- a/tools/harness/process.ts
+++ b/tools/harness/process.ts
@@ -21,7 +21,7 @@
 	/** Returns what the process wrote to standard output and standard error, limited to the last 4 million characters. */
 	readonly readLog: () => string;
 	readonly kill: () => Promise<void>;
-	readonly freeze: () => void;
+	readonly pause: () => void;
 	readonly resume: () => void;
 	/** Sends SIGTERM, waits for the exit and returns the exit code. */
 	readonly stop: () => Promise<number>;
@@ -110,7 +110,7 @@
 			child.kill('SIGKILL');
 			await exit;
 		},
-		freeze() {
+		pause() {
 			child.kill('SIGSTOP');
 		},
 		resume() {
--- a/tools/measure/path.ts
+++ b/tools/measure/path.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import {
-	askChat, fetchDocument, startFleet, type CallerAnswer,
+	requestChat, fetchDocument, startFleet, type CallerResponse,
 } from '../harness/mod.js';
 import {pickPercentile, roundTo} from './report.js';
 
@@ -16,7 +16,7 @@
 const concurrency = 48;
 const loadDurationMs = 8000;
 
-type SendRequest = () => Promise<CallerAnswer>;
+type SendRequest = () => Promise<CallerResponse>;
 
 async function sampleDurations(sendRequest: SendRequest): Promise<number[]> {
 	const durationsMs: number[] = [];
@@ -70,10 +70,10 @@
 		const options = {
 			key, content: 'answer 8', maxTokens: 8, stream: true,
 		};
-		const direct = await sampleDurations(async () => askChat(upstream!.standIn.ready.url, options));
-		const routed = await sampleDurations(async () => askChat(fleet.entries[0]!.process.ready.callers, options));
-		const requestsPerSecond = await measureThroughput(async () => askChat(fleet.entries[0]!.process.ready.callers, options));
-		const directPerSecond = await measureThroughput(async () => askChat(upstream!.standIn.ready.url, options));
+		const direct = await sampleDurations(async () => requestChat(upstream!.standIn.ready.url, options));
+		const routed = await sampleDurations(async () => requestChat(fleet.entries[0]!.process.ready.callers, options));
+		const requestsPerSecond = await measureThroughput(async () => requestChat(fleet.entries[0]!.process.ready.callers, options));
+		const directPerSecond = await measureThroughput(async () => requestChat(upstream!.standIn.ready.url, options));
 		await fetchDocument(`${upstream!.standIn.ready.url}/counts`);
 		return {
 			direct: summarizeDurations(direct), routed: summarizeDurations(routed), requestsPerSecond: roundTo(requestsPerSecond, 0), directPerSecond: roundTo(directPerSecond, 0),
--- a/tools/measure/routing.ts
+++ b/tools/measure/routing.ts
@@ -6,7 +6,7 @@
  */
 import {setTimeout as wait} from 'node:timers/promises';
 import {
-	askChat, fetchDocument, startFleet, type CallerAnswer, type TestFleet,
+	requestChat, fetchDocument, startFleet, type CallerResponse, type TestFleet,
 } from '../harness/mod.js';
 import {createRandom} from './random.js';
 import {pickPercentile, roundTo} from './report.js';
@@ -24,7 +24,7 @@
 /** Requests per second that all engines together can serve if every prefix is cached. */
 const fullLoadRate = engineCount * capacity * 1000 / ((answerTokens * tokenIntervalMs) + (prefillMs / 4));
 
-type LoadResult = {readonly responses: Array<CallerAnswer | undefined>};
+type LoadResult = {readonly responses: Array<CallerResponse | undefined>};
 
 const faults: ReadonlyArray<{readonly name: string; readonly inject: (fleet: TestFleet) => Promise<void>}> = [
 	{
@@ -71,7 +71,7 @@
 
 async function generateLoad(fleet: TestFleet, load: number): Promise<LoadResult> {
 	const random = createRandom(seed);
-	const responses: Array<CallerAnswer | undefined> = [];
+	const responses: Array<CallerResponse | undefined> = [];
 	const pending: Array<Promise<void>> = [];
 	const endMs = performance.now() + loadDurationMs;
 	let requestCount = 0;
@@ -86,9 +86,9 @@
 	return {responses};
 }
 
-async function sendRequest(url: string, content: string, responses: Array<CallerAnswer | undefined>): Promise<void> {
+async function sendRequest(url: string, content: string, responses: Array<CallerResponse | undefined>): Promise<void> {
 	try {
-		responses.push(await askChat(url, {
+		responses.push(await requestChat(url, {
 			key, content, maxTokens: answerTokens, stream: true, deadline,
 		}));
 	} catch {
@@ -99,7 +99,7 @@
 async function measurePolicy(policy: string) {
 	const fleet = await startFleet({
 		entries: 2, engines: engineCount, bookings: 0, engine: {tokenPause: tokenIntervalMs, prefill: prefillMs, capacity}, upstreamSettings: {capacity, queue: 32},
-		replace: policy === 'chosen' ? undefined : {'src/coordination/routing-policy.js': `tools/measure/routing-${policy}.js`},
+		replacedModules: policy === 'chosen' ? undefined : {'src/coordination/routing-policy.js': `tools/measure/routing-${policy}.js`},
 	});
 	try {
 		await fleet.configure([{name: 'measure', key, tokens: 1_000_000_000}]);
--- a/tools/prove/booking-proofs.ts
+++ b/tools/prove/booking-proofs.ts
@@ -6,7 +6,7 @@
  */
 import {setTimeout as wait} from 'node:timers/promises';
 import {
-	bookSlot, fetchDocument, waitUntil, type CallerAnswer, type FleetUpstream, type TestFleet,
+	bookSlot, fetchDocument, waitUntil, type CallerResponse, type FleetUpstream, type TestFleet,
 } from '../harness/mod.js';
 import {
 	city, configureCity, countBookings, getCallerUrl, controlLog,
@@ -21,7 +21,7 @@
 	entries: 2, engines: 0, bookings: 2, settings: fastSuspicion,
 };
 
-async function tryBook(url: string, booking: string, deadline = '5s'): Promise<CallerAnswer | undefined> {
+async function tryBook(url: string, booking: string, deadline = '5s'): Promise<CallerResponse | undefined> {
 	try {
 		return await bookSlot(url, {
 			key: city.key, booking, idempotencyKey: booking, deadline,
@@ -36,7 +36,7 @@
 }
 
 // Counts the refusals as "not run" of bookings that the service has executed, according to its own record.
-function countFalseNotRun(counts: Map<string, number>, answers: ReadonlyMap<string, CallerAnswer | undefined>): number {
+function countFalseNotRun(counts: Map<string, number>, answers: ReadonlyMap<string, CallerResponse | undefined>): number {
 	return [...answers].filter(([booking, answer]) => answer?.problem?.ran === 'no' && (counts.get(booking) ?? 0) > 0).length;
 }
 
@@ -65,7 +65,7 @@
 	unguardedModules: replaceModule('src/coordination/service-runner', 'service-runner-without-permit'),
 	async run(fleet) {
 		await configureCity(fleet);
-		const answers = new Map<string, CallerAnswer | undefined>();
+		const answers = new Map<string, CallerResponse | undefined>();
 		await slowDownServices(fleet, 1200);
 		const duringCall = tryBook(getCallerUrl(fleet.entries[0]), 'during');
 		const executor = await findExecutor(fleet, 'during');
@@ -132,7 +132,7 @@
 		await controlLog(fleet, {isDown: true});
 		await wait(500);
 		const names = ['one', 'two', 'three', 'four'];
-		const answers = new Map<string, CallerAnswer | undefined>();
+		const answers = new Map<string, CallerResponse | undefined>();
 		for (const name of names) {
 			answers.set(name, await tryBook(getCallerUrl(fleet.entries[0]), name, '2s'));
 		}
@@ -165,8 +165,8 @@
 	async run(fleet) {
 		await configureCity(fleet);
 		const names = Array.from({length: 8}, (_, index) => `slot-${index}`);
-		fleet.upstreams[0]!.process.freeze();
-		const answers = new Map<string, CallerAnswer | undefined>();
+		fleet.upstreams[0]!.process.pause();
+		const answers = new Map<string, CallerResponse | undefined>();
 		await Promise.all(names.map(async name => {
 			answers.set(name, await tryBook(getCallerUrl(fleet.entries[0]), name, '12s'));
 		}));
--- a/tools/prove/budget-proofs.ts
+++ b/tools/prove/budget-proofs.ts
@@ -6,7 +6,7 @@
  */
 import {setTimeout as wait} from 'node:timers/promises';
 import {
-	bookSlot, fetchDocument, waitUntil, type CallerAnswer, type TestFleet,
+	bookSlot, fetchDocument, waitUntil, type CallerResponse, type TestFleet,
 } from '../harness/mod.js';
 import {
 	startStream, city, configureCity, countBookings, sumEngineCounts, describeRefusals, getCallerUrl, readBudget, readStatus, controlLog, spendUntilRefused, sumTokens, tryChat, waitForReceipts,
@@ -38,7 +38,7 @@
 	await wait(1000);
 	await setFirstEntryPartitioned(fleet, true);
 	const {freeHere: heldByPartitioned} = await readBudget(fleet.entries[0]!, city.budget);
-	fleet.entries[0]!.process.freeze();
+	fleet.entries[0]!.process.pause();
 	await wait(1500);
 	const second = await spendUntilRefused(getCallerUrl(fleet.entries[1]), {maxRequests: 200});
 	await waitUntilRemoved(fleet, 'entry-1');
@@ -46,7 +46,7 @@
 	const first = await spendUntilRefused(getCallerUrl(fleet.entries[0]), {maxRequests: 60, deadline: '2s'});
 	await setFirstEntryPartitioned(fleet, false);
 	await waitForReceipts(fleet);
-	const budget = await fleet.findBudget(city.budget);
+	const budget = await fleet.readBudget(city.budget);
 	const answered = sumTokens([...before, ...first, ...second]);
 	return {
 		holds: answered <= budget.bought && budget.billed <= budget.bought && second.some(answer => answer.isWhole),
@@ -67,7 +67,7 @@
 	fleet: {
 		entries: 2, engines: 1, bookings: 0, hasProxies: true, settings: fastSuspicion,
 		// Upstream daemons would relay log records to the partitioned entry. Without them, the fence is the only guard.
-		replace: replaceModule('src/coordination/membership', 'membership-without-relay'),
+		replacedModules: replaceModule('src/coordination/membership', 'membership-without-relay'),
 	},
 	unguardedModules: replaceModule('src/coordination/receipt-reporter', 'receipt-reporter-without-fence'),
 	async run(fleet) {
@@ -93,7 +93,7 @@
 		await controlLog(fleet, {loseAnswers: 3, loseKind: 'receipts'});
 		const answers = await spendUntilRefused(getCallerUrl(fleet.entries[0]), {maxRequests: 20});
 		await waitForReceipts(fleet);
-		const budget = await fleet.findBudget(city.budget);
+		const budget = await fleet.readBudget(city.budget);
 		const answered = sumTokens(answers);
 		return {
 			holds: budget.billed === answered && budget.refunded === 0,
@@ -122,7 +122,7 @@
 		const whileDown = answers.filter(answer => answer.isWhole).length;
 		await controlLog(fleet, {isDown: false});
 		await waitForReceipts(fleet);
-		const budget = await fleet.findBudget(city.budget);
+		const budget = await fleet.readBudget(city.budget);
 		return {
 			holds: sumTokens(answers) >= 0.95 * budget.bought && budget.billed <= budget.bought,
 			figures: {
@@ -148,7 +148,7 @@
 		const answers = await spendUntilRefused(getCallerUrl(fleet.entries[0]), {maxRequests: 8, maxRefusals: 1});
 		await controlLog(fleet, {delay: 0});
 		await waitForReceipts(fleet);
-		const budget = await fleet.findBudget(city.budget);
+		const budget = await fleet.readBudget(city.budget);
 		const slowestMs = Math.max(...answers.map(answer => answer.totalMs));
 		return {
 			holds: answers.length === 8 && answers.every(answer => answer.isWhole) && slowestMs < 1000 && budget.billed === sumTokens(answers) + 30,
@@ -178,7 +178,7 @@
 		const second = await tryChat(getCallerUrl(fleet.entries[1]), call);
 		await waitForReceipts(fleet);
 		const {runs} = await sumEngineCounts(fleet);
-		const budget = await fleet.findBudget(city.budget);
+		const budget = await fleet.readBudget(city.budget);
 		return {
 			holds: Boolean(second?.isWhole) && second?.tokens === 300 && runs === 1 && budget.burnt === 0 && budget.billed > 300 && budget.billed < 320,
 			figures: {
@@ -191,7 +191,7 @@
 
 // Kills the entry while a stream is open and retries through the other entry. The budget covers the request once but
 // not a second time.
-async function retryStreamAfterKill(fleet: TestFleet): Promise<CallerAnswer | undefined> {
+async function retryStreamAfterKill(fleet: TestFleet): Promise<CallerResponse | undefined> {
 	const call = {
 		content: 'answer 300', maxTokens: 300, stream: true, idempotencyKey: 'letter-8',
 	};
@@ -221,7 +221,7 @@
 		const {runs} = await sumEngineCounts(fleet);
 		const bookings = await countBookings(fleet);
 		const executions = bookings.get(village.booking) ?? 0;
-		const budget = await fleet.findBudget(city.budget);
+		const budget = await fleet.readBudget(city.budget);
 		const isLetterWhole = Boolean(letter?.isWhole) && letter?.tokens === 300;
 		return {
 			holds: booked.isWhole && bookedAgain.text === booked.text && executions === 1 && isLetterWhole && runs === 1 && budget.billed > 300 && budget.billed < 320,
@@ -260,7 +260,7 @@
 		await wait(2500);
 		const later = await spendUntilRefused(getCallerUrl(fleet.entries[0]), {maxRequests: 100});
 		await waitForReceipts(fleet);
-		const budget = await fleet.findBudget(city.budget);
+		const budget = await fleet.readBudget(city.budget);
 		const answered = sumTokens([answer, ...later]);
 		return {
 			holds: Boolean(answer?.isWhole) && answered === budget.billed && budget.billed <= budget.bought && budget.billed >= 0.95 * budget.bought,
@@ -285,7 +285,7 @@
 		await configureCity(fleet, 5000);
 		const answer = await tryChat(getCallerUrl(fleet.entries[0]), {content: 'answer 200', maxTokens: 40, stream: true});
 		await waitForReceipts(fleet);
-		const budget = await fleet.findBudget(city.budget);
+		const budget = await fleet.readBudget(city.budget);
 		return {
 			holds: answer?.tokens === 40 && answer.isWhole && budget.billed <= 60,
 			figures: {tokens: answer?.tokens ?? 0, billed: budget.billed},
@@ -317,7 +317,7 @@
 		const servedAfterMs = performance.now() - startedAt;
 		const streamed = await stream;
 		await waitForReceipts(fleet);
-		const budget = await fleet.findBudget(city.budget);
+		const budget = await fleet.readBudget(city.budget);
 		return {
 			holds: budget.bought === 1500 && confirmed.state === 'accepted' && again.state === 'accepted' && Boolean(next?.isWhole) && Boolean(streamed?.isWhole) && servedAfterMs < 5000,
 			figures: {
--- a/tools/prove/configuration-proofs.ts
+++ b/tools/prove/configuration-proofs.ts
@@ -89,7 +89,7 @@
 	},
 	async run(fleet) {
 		await configureCity(fleet, 1000);
-		fleet.entries[1]!.process.freeze();
+		fleet.entries[1]!.process.pause();
 		await controlLog(fleet, {retention: 40});
 		let version = 0;
 		for (let round = 1; round <= 40; round++) {
--- a/tools/prove/delivery-proofs.ts
+++ b/tools/prove/delivery-proofs.ts
@@ -21,7 +21,7 @@
 another. Only the request ID, attempt, sequence number and digest distinguish them.`,
 	isInCi: true,
 	fleet: {
-		entries: 1, engines: 1, bookings: 0, replace: replaceModule('src/daemon/upstream-interface', 'upstream-interface-with-crossed-frames'),
+		entries: 1, engines: 1, bookings: 0, replacedModules: replaceModule('src/daemon/upstream-interface', 'upstream-interface-with-crossed-frames'),
 	},
 	unguardedModules: replaceModule('src/coordination/frame-check', 'frame-check-disabled'),
 	async run(fleet) {
@@ -49,14 +49,14 @@
 		await configureCity(fleet);
 		const answer = tryChat(getCallerUrl(fleet.entries[0]), {
 			content: 'answer 300', maxTokens: 300, stream: true, deadline: '15s',
-			onFirst() {
+			onFirstChunk() {
 				fleet.upstreams[0]!.peerProxy!.stallOpenConnections();
 			},
 		});
 		const outcome = await answer;
 		const {runs} = await sumEngineCounts(fleet);
 		await waitForReceipts(fleet);
-		const budget = await fleet.findBudget(city.budget);
+		const budget = await fleet.readBudget(city.budget);
 		return {
 			holds: Boolean(outcome?.isWhole) && isOwnAnswer(outcome!.text, 300) && runs === 1 && budget.billed < 330 && outcome!.totalMs < 8000,
 			figures: {
@@ -81,7 +81,7 @@
 		const engine = fleet.upstreams[0]!.standIn.ready.url;
 		const outcome = await tryChat(getCallerUrl(fleet.entries[0]), {
 			content: 'answer 300', maxTokens: 300, stream: true, deadline: '10s',
-			onFirst() {
+			onFirstChunk() {
 				void fetchDocument(`${engine}/control`, {silenceOpen: true});
 			},
 		});
@@ -148,7 +148,7 @@
 		const second = await tryChat(getCallerUrl(fleet.entries[1]), call);
 		await waitForReceipts(fleet);
 		const {runs} = await sumEngineCounts(fleet);
-		const budget = await fleet.findBudget(city.budget);
+		const budget = await fleet.readBudget(city.budget);
 		return {
 			holds: Boolean(second?.isWhole) && isOwnAnswer(second!.text, 300) && runs === 1 && budget.burnt === 0,
 			figures: {
--- a/tools/prove/entry-failure-proofs.ts
+++ b/tools/prove/entry-failure-proofs.ts
@@ -43,7 +43,7 @@
 	const after = await spendUntilRefused(getCallerUrl(fleet.entries[1]), {maxRequests: 200});
 	const spentInMs = performance.now() - startedAt;
 	await waitForReceipts(fleet);
-	const budget = await fleet.findBudget(city.budget);
+	const budget = await fleet.readBudget(city.budget);
 	const share = budget.billed / budget.bought;
 	return {
 		holds: budget.billed <= budget.bought && share >= 0.98,
@@ -137,7 +137,7 @@
 		await wait(4000);
 		const after = await spendUntilRefused(getCallerUrl(fleet.entries[1]), {maxRequests: 200});
 		await waitForReceipts(fleet);
-		const budget = await fleet.findBudget(city.budget);
+		const budget = await fleet.readBudget(city.budget);
 		const answered = sumTokens([...before, ...during, ...after]);
 		return {
 			holds: budget.billed <= budget.bought && answered <= budget.bought && budget.billed >= 0.98 * budget.bought,
--- a/tools/prove/proof.ts
+++ b/tools/prove/proof.ts
@@ -100,7 +100,7 @@
 export async function runOnce(proof: Proof, options: {readonly isGuarded: boolean}): Promise<ProofOutcome> {
 	const fleet = await startFleet({
 		...proof.fleet,
-		replace: {...proof.fleet.replace, ...options.isGuarded ? {} : proof.unguardedModules},
+		replacedModules: {...proof.fleet.replacedModules, ...options.isGuarded ? {} : proof.unguardedModules},
 	});
 	const outcome = await runScenario(proof, fleet);
 	await fleet.kill();
--- a/tools/prove/scenario-steps.ts
+++ b/tools/prove/scenario-steps.ts
@@ -6,7 +6,7 @@
  */
 import {setTimeout as wait} from 'node:timers/promises';
 import {
-	askChat, fetchDocument, waitUntil, type RequestChatOptions, type BudgetAmounts, type CallerAnswer, type FleetDaemon, type TestFleet,
+	requestChat, fetchDocument, waitUntil, type RequestChatOptions, type BudgetAmounts, type CallerResponse, type FleetDaemon, type TestFleet,
 } from '../harness/mod.js';
 
 /** The customer that most proofs use. */
@@ -79,21 +79,21 @@
 }
 
 /** Requests a chat completion as `city`; returns `undefined` if the connection fails. */
-export async function tryChat(url: string, options: Omit<RequestChatOptions, 'key'>): Promise<CallerAnswer | undefined> {
+export async function tryChat(url: string, options: Omit<RequestChatOptions, 'key'>): Promise<CallerResponse | undefined> {
 	try {
-		return await askChat(url, {key: city.key, ...options});
+		return await requestChat(url, {key: city.key, ...options});
 	} catch {
 		return undefined;
 	}
 }
 
 /** Starts a stream and waits for its first chunk; returns a promise of the outcome. */
-export async function startStream(url: string, options: Omit<RequestChatOptions, 'key'>): Promise<{readonly outcome: Promise<CallerAnswer | undefined>}> {
+export async function startStream(url: string, options: Omit<RequestChatOptions, 'key'>): Promise<{readonly outcome: Promise<CallerResponse | undefined>}> {
 	let reportFirstChunk: () => void = () => undefined;
 	const firstChunkReceived = new Promise<void>(resolve => {
 		reportFirstChunk = resolve;
 	});
-	const outcome = tryChat(url, {...options, stream: true, onFirst: reportFirstChunk});
+	const outcome = tryChat(url, {...options, stream: true, onFirstChunk: reportFirstChunk});
 	await firstChunkReceived;
 	return {outcome};
 }
@@ -110,8 +110,8 @@
 };
 
 /** Sends requests one after the other until they are refused; returns the answers. */
-export async function spendUntilRefused(url: string, options: SpendOptions): Promise<CallerAnswer[]> {
-	const answers: CallerAnswer[] = [];
+export async function spendUntilRefused(url: string, options: SpendOptions): Promise<CallerResponse[]> {
+	const answers: CallerResponse[] = [];
 	let consecutiveRefusals = 0;
 	while (answers.length < options.maxRequests && consecutiveRefusals < (options.maxRefusals ?? 2)) {
 		const answer = await tryChat(url, {content: options.content ?? 'answer 20', maxTokens: options.maxTokens ?? 20, deadline: options.deadline ?? '8s'});
@@ -126,13 +126,13 @@
 }
 
 /** Lists the refusals among the answers with status and reason. */
-export function describeRefusals(answers: ReadonlyArray<CallerAnswer | undefined>): string {
+export function describeRefusals(answers: ReadonlyArray<CallerResponse | undefined>): string {
 	const refusals = answers.filter(answer => !answer?.isWhole);
 	return refusals.map(answer => answer ? `${answer.status} ${answer.problem?.detail ?? ''}` : 'connection failed').join('; ');
 }
 
 /** Sums the tokens that complete answers report as used. */
-export function sumTokens(answers: ReadonlyArray<CallerAnswer | undefined>): number {
+export function sumTokens(answers: ReadonlyArray<CallerResponse | undefined>): number {
 	let sum = 0;
 	for (const answer of answers) {
 		sum += answer?.isWhole ? answer.tokens : 0;
--- a/tools/prove/stop-proofs.ts
+++ b/tools/prove/stop-proofs.ts
@@ -6,7 +6,7 @@
  */
 import {setTimeout as wait} from 'node:timers/promises';
 import {
-	fetchDocument, waitUntil, type CallerAnswer, type TestFleet,
+	fetchDocument, waitUntil, type CallerResponse, type TestFleet,
 } from '../harness/mod.js';
 import {
 	city, configureCity, getCallerUrl, readStatus, tryChat, waitForReceipts,
@@ -74,19 +74,19 @@
 // Starts a stream that lasts longer than the time for which a stopping entry reports that it is not ready. Without it
 // the entry may have no open request when it stops: the callers run in step, and under load the entry is stopped before
 // their first requests reach it.
-async function startLongStream(url: string): Promise<Array<Promise<CallerAnswer | undefined>>> {
+async function startLongStream(url: string): Promise<Array<Promise<CallerResponse | undefined>>> {
 	let reportFirstChunk: () => void = () => undefined;
 	const firstChunkReceived = new Promise<void>(resolve => {
 		reportFirstChunk = resolve;
 	});
 	const answer = tryChat(url, {
-		content: 'long answer 400', maxTokens: 400, stream: true, deadline: '30s', onFirst: reportFirstChunk,
+		content: 'long answer 400', maxTokens: 400, stream: true, deadline: '30s', onFirstChunk: reportFirstChunk,
 	});
 	await Promise.race([firstChunkReceived, answer]);
 	return [answer];
 }
 
-async function replaceDaemons(fleet: TestFleet, answers: Array<CallerAnswer | undefined>): Promise<number[]> {
+async function replaceDaemons(fleet: TestFleet, answers: Array<CallerResponse | undefined>): Promise<number[]> {
 	const codes: number[] = [];
 	for (const daemon of [...fleet.entries, ...fleet.upstreams]) {
 		const streams = fleet.entries.includes(daemon) ? await startLongStream(getCallerUrl(daemon)) : [];
@@ -117,7 +117,7 @@
 		await configureCity(fleet);
 		const finished = new AbortController();
 		let requestNumber = 0;
-		const answers: Array<CallerAnswer | undefined> = [];
+		const answers: Array<CallerResponse | undefined> = [];
 		const callers = Array.from({length: 6}, async () => {
 			while (!finished.signal.aborted) {
 				requestNumber += 1;
@@ -132,7 +132,7 @@
 		await Promise.all(callers);
 		await waitForReceipts(fleet);
 		const failed = answers.filter(answer => !answer?.isWhole).length;
-		const budget = await fleet.findBudget(city.budget);
+		const budget = await fleet.readBudget(city.budget);
 		return {
 			holds: failed === 0 && codes.every(code => code === 0) && budget.burnt === 0,
 			figures: {
