--- a/src/coordination/admission.test.ts
+++ b/src/coordination/admission.test.ts
@@ -11,7 +11,7 @@
 	const state = {lag: 0, changes: [] as boolean[]};
 	const clock: Clock = {
 		now: time.now,
-		sleep: async (span, signal) => time.sleep(span + state.lag, signal),
+		sleep: async (durationMs, signal) => time.sleep(durationMs + state.lag, signal),
 	};
 	const stopper = new AbortController();
 	const admission = createAdmission({
--- a/src/coordination/budget-manager.test.ts
+++ b/src/coordination/budget-manager.test.ts
@@ -10,8 +10,8 @@
 } from './mod.js';
 
 // Simulates gateways with real budget managers over one log in memory. Appends
-// collide, their answers are lost, some take effect late, and gateways die and
-// restart.
+// collide, their answers are lost, some take effect late, and gateways crash
+// and restart.
 
 const events: EventLog = {write: () => undefined, counts: new Map()};
 const customer = 'c1';
@@ -53,7 +53,7 @@
 		const daemon = `e${index}`;
 		const stopper = new AbortController();
 		const account = createTokenAccount();
-		const book = createGrantRegistry();
+		const grantRegistry = createGrantRegistry();
 		const self = {
 			role: 'gateway' as const, daemon, incarnation: `i${serial}`, address: daemon, failureDomain: 'd',
 		};
@@ -61,7 +61,7 @@
 			log: fake.open(), clock, events, longPollMs: 0, readIntervalMs: 1,
 			onRecord({key, value}) {
 				const record = holderRecordSchema.parse(JSON.parse(value ?? 'null'));
-				book.put(key, record);
+				grantRegistry.put(key, record);
 				if (key === `${daemon}/${self.incarnation}`) {
 					manager.applyOwnRecord(record);
 				}
@@ -90,7 +90,7 @@
 			},
 		});
 		const manager = createBudgetManager({
-			self, log: fake.open(), follower, grants: book, account, findRouteTable: () => table, borrow: lending.borrow, owners: {isOwner: () => mode === 'each' || index === 0, isSmallFleet: () => mode === 'each', countClaimers: () => mode === 'each' ? 3 : 1}, clock, events, signal: stopper.signal,
+			self, log: fake.open(), follower, grants: grantRegistry, account, findRouteTable: () => table, borrow: lending.borrow, owners: {isOwner: () => mode === 'each' || index === 0, isSmallFleet: () => mode === 'each', countClaimers: () => mode === 'each' ? 3 : 1}, clock, events, signal: stopper.signal,
 		});
 		return {
 			daemon, manager, account, lending, stopper, reservations: [] as TokenReservation[],
@@ -400,7 +400,7 @@
 	expect(simulation.log.records.length - simulation.firstRecord).toBeLessThan(20);
 });
 
-// Guards against refusals while the owner of a budget has died but is not yet presumed failed.
+// Guards against refusals while the owner of a budget has failed but is not yet presumed failed.
 test('if the owner does not respond, a gateway gets tokens from the next one in the order', async () => {
 	const simulation = await createSimulation(100_000, 'first');
 	simulation.unresponsive.add('e0');
--- a/src/coordination/budget-owners.test.ts
+++ b/src/coordination/budget-owners.test.ts
@@ -22,8 +22,8 @@
 	expect(customers.map(customer => all.filter(owners => owners.isOwner(customer)).length)).toEqual(customers.map(() => 1));
 });
 
-// Guards against a budget that no gateway claims after its owner has died.
-test('the next gateway in the order becomes the owner when the first is gone', () => {
+// Guards against a budget that no gateway claims after its owner has failed.
+test('the next gateway in the order becomes the owner when the first is no longer up', () => {
 	const {fleet, owners} = createOwners('e0', names);
 	const [first, second] = owners.listOwners('c0');
 	fleet.names = names.filter(name => name !== first);
--- a/src/coordination/event-loop-monitor.test.ts
+++ b/src/coordination/event-loop-monitor.test.ts
@@ -5,7 +5,7 @@
 /** Monitors an event loop that stalls once, from `at` on. */
 async function runStall({at, stallMs, cpuMs}: {readonly at: number; readonly stallMs: number; readonly cpuMs: number}) {
 	const time = createVirtualTime();
-	const stopper = new AbortController();
+	const abortController = new AbortController();
 	const stalls: LoopStall[] = [];
 	const lags: number[] = [];
 	let hasStalled = false;
@@ -25,9 +25,9 @@
 			stalls.push(stall);
 		},
 		readStats: () => ({cpuMs: hasStalled && time.now() > at + stallMs ? cpuMs : 0, connections: 0, requests: hasStalled ? 7 : 0}),
-	}, stopper.signal);
+	}, abortController.signal);
 	await time.runUntil(at + stallMs + 1000);
-	stopper.abort();
+	abortController.abort();
 	return {stalls, lags};
 }
 
--- a/src/coordination/event-loop-monitor.ts
+++ b/src/coordination/event-loop-monitor.ts
@@ -52,7 +52,7 @@
  *
  * @example
  * ```ts
- * void monitorEventLoop({clock, onWindow: admission.noteLag}, signal);
+ * void monitorEventLoop({clock, onWindow: admission.recordLag}, signal);
  * ```
  *
  * @param options The clock, the callbacks and the counters of the process
--- a/src/coordination/gossip.ts
+++ b/src/coordination/gossip.ts
@@ -64,7 +64,7 @@
  * @example
  * ```ts
  * void gossip.run(signal);
- * socket.onMessage = gossip.take;
+ * socket.onMessage = gossip.handleMessage;
  * ```
  *
  * @param options The peers and the callbacks that receive their views
--- a/src/coordination/grant-manager.test.ts
+++ b/src/coordination/grant-manager.test.ts
@@ -119,8 +119,8 @@
 
 const lendNothing = async (): Promise<LoanAnswer> => ({shares: [], reserved: 0});
 
-// Guards against a refusal as spent in the second before the death of the entry daemon that holds the budget is detected.
-test('a request waits for the tokens of a peer that has just died', async () => {
+// Guards against a refusal as spent in the second before the failure of the entry daemon that holds the budget is detected.
+test('a request waits for the tokens of a peer that has just failed', async () => {
 	const {time, acquire, suspectPeer, endPeer} = createSimulation(failToAnswer);
 	const answer = acquire();
 	await time.runUntil(1000);
@@ -165,14 +165,14 @@
 // Guards against a refusal as spent because the running claim was sized before the request arrived.
 test('tokens are claimed for a request that a running claim does not cover', async () => {
 	const {time, manager, acquire} = createSimulation(lendNothing, {heldByPeer: 0, claimDurationMs: 100});
-	const stopper = new AbortController();
-	void manager.run(stopper.signal);
+	const abortController = new AbortController();
+	void manager.run(abortController.signal);
 	await time.runUntil(50);
 	const answer = acquire(700);
 	await time.runUntil(2000);
 	const reserved = await answer;
 	expect(reserved.ok).toBe(true);
-	stopper.abort();
+	abortController.abort();
 });
 
 // Guards against waiting for tokens that no daemon holds.
--- a/src/coordination/grant-policy.ts
+++ b/src/coordination/grant-policy.ts
@@ -3,7 +3,7 @@
  *
  * No policy can overspend, because a claim grants at most what remains at its
  * log offset. Policies differ in the number of requests refused while the log
- * is unavailable, and of tokens locked when a holder dies or is cut off
+ * is unavailable, and of tokens locked when a holder fails or is partitioned
  * (docs/DECISIONS.md).
  *
  * @module
--- a/src/coordination/grant-size.test.ts
+++ b/src/coordination/grant-size.test.ts
@@ -37,7 +37,7 @@
 	})).toBe(30_000);
 });
 
-test('a stopping gateway keeps only what is bound', () => {
+test('a stopping gateway keeps only the tokens that cannot be released', () => {
 	expect(computeGrant({
 		...view, granted: 5000, bound: 1200, free: 3800, isEnding: true,
 	})).toBe(1200);
--- a/src/coordination/grant-size.ts
+++ b/src/coordination/grant-size.ts
@@ -2,7 +2,7 @@
  * Computes how large a gateway's grant of one budget should be.
  *
  * A grant must cover the demand while the store is unavailable. Idle tokens in
- * a grant are lost if its holder dies, and are missing at other gateways when
+ * a grant are lost if its holder fails, and are missing at other gateways when
  * the budget is nearly used up.
  *
  * @module
@@ -45,7 +45,7 @@
 const reduceAboveFactor = 2;
 /**
  * Share of a budget's remaining tokens that all gateways together may hold
- * free. Free tokens of a grant are lost when its holder dies. If all gateways
+ * free. Free tokens of a grant are lost when its holder fails. If all gateways
  * lose power at once, a customer loses at most this share of what it could
  * still have used.
  */
--- a/src/coordination/log-follower.ts
+++ b/src/coordination/log-follower.ts
@@ -56,7 +56,7 @@
  * ```ts
  * const follower = createLogFollower({log, clock, events, windowMs: 3_600_000, fetchFromPeers: async () => undefined});
  * void follower.run(signal);
- * await follower.waitUntilReady(signal);
+ * await follower.waitFor(() => follower.isReady(), signal);
  * ```
  *
  * @param options The log, the clock and the function that fetches records from peers
--- a/src/coordination/membership.test.ts
+++ b/src/coordination/membership.test.ts
@@ -11,7 +11,7 @@
 /** Creates the membership of a daemon whose only information about peers is the host list. */
 function createFixture(hosts: HostList['hosts']) {
 	const time = createVirtualTime();
-	const stopper = new AbortController();
+	const abortController = new AbortController();
 	let isListUnavailable = false;
 	const membership = createMembership({
 		self: {
@@ -24,14 +24,14 @@
 		},
 		hostListIntervalMs: 1000, heartbeatIntervalMs: 500, suspectTimeoutMs: 1500,
 	});
-	void membership.run(stopper.signal);
+	void membership.run(abortController.signal);
 	return {
 		time, membership,
 		setListUnavailable(value: boolean) {
 			isListUnavailable = value;
 		},
 		stop() {
-			stopper.abort();
+			abortController.abort();
 		},
 	};
 }
--- a/src/coordination/quarantine-recorder.test.ts
+++ b/src/coordination/quarantine-recorder.test.ts
@@ -104,7 +104,7 @@
 	stopper.abort();
 });
 
-test('of several gateways that learn of a crash from a peer, only one writes it', async () => {
+test('of several gateways that receive a crash record from a peer, only one writes it', async () => {
 	const names = ['g1', 'g2', 'g3'];
 	const fleet = names.map(name => startGateway(name, names.filter(other => other !== name)));
 	for (const {quarantine, time} of fleet) {
--- a/src/coordination/reclaimer.ts
+++ b/src/coordination/reclaimer.ts
@@ -40,7 +40,7 @@
  *
  * @example
  * ```ts
- * void createReclaimer({follower, writer, membership, clock, events, isShort, findLentTo}).run(signal);
+ * void createReclaimer({follower, writer, membership, clock, events, wasInsufficient, findLentTo}).run(signal);
  * ```
  *
  * @param options Log and peers
--- a/src/coordination/relayed-log.test.ts
+++ b/src/coordination/relayed-log.test.ts
@@ -198,9 +198,9 @@
 	};
 }
 
-test('a dead relay does not delay the call to the next one', async () => {
-	// Guards against a gateway that learns seconds late that an engine left: its
-	// direct path to the store is cut, the host of the first relay has lost power,
+test('an unresponsive relay does not delay the call to the next one', async () => {
+	// Guards against a gateway that reads seconds late that an engine left: its
+	// direct path to the store is partitioned, the host of the first relay has lost power,
 	// and the next relay is tried only after that call has timed out.
 	const {time, unresponsive, startRead} = createVirtualFixture(['dead', 'healthy']);
 	unresponsive.add('direct').add('dead');
@@ -209,7 +209,7 @@
 	expect(first.tookMs).toBeLessThan(maxReadMs);
 });
 
-test('dead relays do not delay a call when the direct path works again', async () => {
+test('unresponsive relays do not delay a call when the direct path works again', async () => {
 	// Guards against a gateway that still considers the store unavailable after its
 	// recovery: between two probes of the direct path all calls go through relays,
 	// which are all unresponsive and are tried in sequence.
@@ -223,9 +223,9 @@
 	expect(second.tookMs).toBeLessThan(maxReadMs);
 });
 
-test('dead relays are tried after the others', async () => {
+test('unresponsive relays are tried after the others', async () => {
 	// Guards against a gateway that never reaches the store although one relay
-	// does: the first three relays are dead, and each call tries the same three.
+	// does: the first three relays are unresponsive, and each call tries the same three.
 	const {time, unresponsive, startRead} = createVirtualFixture(['dead-1', 'dead-2', 'dead-3', 'healthy']);
 	unresponsive.add('direct').add('dead-1').add('dead-2').add('dead-3');
 	startRead();
@@ -257,16 +257,16 @@
 			return cutOffLog;
 		},
 	});
-	const stopper = new AbortController();
+	const abortController = new AbortController();
 	void (async () => {
-		while (!stopper.signal.aborted) {
+		while (!abortController.signal.aborted) {
 			await log.readNewest();
 			await time.sleep(200);
 		}
 	})();
 
 	await time.runUntil(20_000);
-	stopper.abort();
+	abortController.abort();
 	const callsPerSecond = relayCallTimes.filter(at => at > 10_000).length / 10;
 	// Five calls per second with three relays each would be fifteen.
 	expect(callsPerSecond).toBeLessThanOrEqual(3);
--- a/src/coordination/relayed-log.ts
+++ b/src/coordination/relayed-log.ts
@@ -154,7 +154,7 @@
 	try {
 		return await Promise.any(attempts);
 	} catch {
-		// No call reached the store; the value of the first one tells why.
+		// No call reached the store; the value of the first one contains the reason.
 		return calls[0]!;
 	}
 }
@@ -192,7 +192,7 @@
 	}
 
 	// Tries the relays in order, and sends the call to the next one as well while the earlier ones have not answered. The
-	// host of a relay may be dead, and three timeouts in sequence would delay the answer by seconds. Resolves with the
+	// host of a relay may be down, and three timeouts in sequence would delay the answer by seconds. Resolves with the
 	// value of the first relay if no relay reached the store, and with undefined if there is no relay.
 	async function callRelays<Value>(call: StoreCall<Value>): Promise<Value | undefined> {
 		const calls: Array<Promise<Value>> = [];
--- a/src/coordination/request-forwarder.test.ts
+++ b/src/coordination/request-forwarder.test.ts
@@ -19,7 +19,7 @@
 const wire: GatewayWire = {
 	readinessPath: '/ready',
 	readRequest: () => Ok({}),
-	buildForwardHeaders: (_raw, facts) => [facts.lastEventId ?? '', facts.upstream],
+	buildForwardHeaders: (_raw, metadata) => [metadata.lastEventId ?? '', metadata.upstream],
 	readRequestId: () => undefined,
 	readAnswer: (status, headers) => ({
 		isWrongUpstream: status === 421,
@@ -168,8 +168,8 @@
 
 test('a non-idempotent request that received another request\'s answer is not reported as refused', async () => {
 	// Guards against a double booking: the booking was sent, another request's
-	// answer arrived in its place, and the caller was told that it had not run
-	// and booked again.
+	// answer arrived in its place, the failure reported that the request had not run,
+	// and the caller booked again.
 	const fixture = createFixture([{status: 200, headers: {...bufferedHeaders, id: 'r0'}, chunks: ['theirs']}]);
 	const report = await fixture.forward({kind: 'once'});
 	expect(fixture.received.refused?.type).toBe('outcome-unknown');
@@ -297,7 +297,7 @@
 	expect(fixture.received.refused).toEqual(createFailure('deadline-passed', fixture.received.refused!.detail, {ran: 'unknown'}));
 });
 
-test('a request that waits for a connection is still wanted until its upstream drains', async () => {
+test('a request that waits for a connection may be sent until its upstream drains', async () => {
 	const fixture = createFixture([{status: 200, chunks: ['ok']}]);
 	await fixture.forward({kind: 'idempotent'});
 	const [call] = fixture.calls;
--- a/src/coordination/request-forwarder.ts
+++ b/src/coordination/request-forwarder.ts
@@ -43,7 +43,7 @@
 
 /** Outcome of sending a request to one upstream. */
 type SendOutcome =
-	/** `reached` tells which upstream received the request: none, another one at the same address, or the chosen one. */
+	/** `reached` is the upstream that received the request: none, another one at the same address, or the chosen one. */
 	| {readonly kind: 'not-run'; readonly detail: string; readonly reached: 'none' | 'other' | 'chosen'}
 	| RelayOutcome;
 
@@ -105,36 +105,36 @@
 	}
 
 	// An answer to another request shows that the connection carries extra answers, so no later answer on it can be trusted.
-	function isForOtherRequest(request: ForwardRequest, facts: AnswerMetadata): boolean {
-		return facts.requestId !== undefined && facts.requestId !== request.id;
+	function isForOtherRequest(request: ForwardRequest, metadata: AnswerMetadata): boolean {
+		return metadata.requestId !== undefined && metadata.requestId !== request.id;
 	}
 
 	async function receive({request, relay, progress}: ForwardingState, answer: UpstreamResponse, {tracker, onProgress}: ReceiveOptions): Promise<SendOutcome> {
-		const facts = wire.readAnswer(answer.status, answer.headers);
-		if (facts.load) {
-			tracker.recordLoad(facts.load);
+		const metadata = wire.readAnswer(answer.status, answer.headers);
+		if (metadata.load) {
+			tracker.recordLoad(metadata.load);
 		}
 
-		if (isForOtherRequest(request, facts)) {
+		if (isForOtherRequest(request, metadata)) {
 			// This request was sent and may have run. Reporting "not run" could be false and would leave its tokens uncounted.
 			progress.mayHaveRun = true;
 			answer.abandon();
 			return {kind: 'broken', detail: 'The answer belongs to another request', wasConnectionLost: false};
 		}
 
-		if (facts.isWrongUpstream) {
+		if (metadata.isWrongUpstream) {
 			answer.abandon();
 			tracker.recordMoved();
 			return {kind: 'not-run', detail: 'Another upstream now listens at this address', reached: 'other'};
 		}
 
-		if (facts.hasNotRun) {
+		if (metadata.hasNotRun) {
 			answer.abandon();
 			return {kind: 'not-run', detail: `status ${answer.status}`, reached: 'chosen'};
 		}
 
 		progress.mayHaveRun = true;
-		if (answer.status < 300 && (!facts.hasUpstreamSignature || answer.headers['content-encoding'] !== undefined)) {
+		if (answer.status < 300 && (!metadata.hasUpstreamSignature || answer.headers['content-encoding'] !== undefined)) {
 			answer.abandon();
 			return {kind: 'broken', detail: 'The answer lacks the upstream signature or has a content encoding', wasConnectionLost: false};
 		}
--- a/src/coordination/request-router.test.ts
+++ b/src/coordination/request-router.test.ts
@@ -50,7 +50,7 @@
 }
 
 // Guards against a request that crashes the engine of one upstream daemon after the other.
-test('a request whose answer was cut at two upstreams is not sent to a third', async () => {
+test('a request whose answer was interrupted at two upstreams is not sent to a third', async () => {
 	const cut = createFailure('answer-cut', 'The engine process ended at event 0', {ran: 'unknown'});
 	const {sentTo, result} = await play([cut, cut, cut, cut]);
 	expect(sentTo).toEqual(['up-1', 'up-2']);
--- a/src/coordination/retry-after-estimator.test.ts
+++ b/src/coordination/retry-after-estimator.test.ts
@@ -24,7 +24,7 @@
 	expect(forecast.estimate(views, {ownRemainingMs: 4000})).toBe(100);
 });
 
-test('a caller is told to retry when the gateway that stopped first serves again', () => {
+test('the retry-after time ends when the gateway that stopped first serves again', () => {
 	// Guards against a retry that comes too early while all gateways are replaced
 	// within seconds: after one second all are still stopping, and the caller does
 	// not retry a second time.
--- a/src/coordination/retry-after-estimator.ts
+++ b/src/coordination/retry-after-estimator.ts
@@ -64,7 +64,7 @@
 			}
 		},
 
-		/** Returns the milliseconds until a gateway accepts requests, given the gateways that answer and the rest of this gateway's stop. */
+		/** Returns the milliseconds until a gateway accepts requests, given the gateways that answer and the time that this gateway's stop still takes. */
 		estimate(views: readonly PeerView[], {ownRemainingMs}: {readonly ownRemainingMs: number}): number {
 			if (views.some(({isLeaving}) => !isLeaving)) {
 				return otherGatewayRetryMs;
--- a/src/coordination/service-runner.test.ts
+++ b/src/coordination/service-runner.test.ts
@@ -35,8 +35,8 @@
 	const follower = createLogFollower({
 		log, clock, events, windowMs: 1000, fetchFromPeers: async () => undefined, longPollMs: 5,
 	});
-	const stopper = new AbortController();
-	void follower.run(stopper.signal);
+	const abortController = new AbortController();
+	void follower.run(abortController.signal);
 	await follower.waitFor(() => follower.isLogUp(), AbortSignal.timeout(5000));
 	const writer = createLogWriter({
 		log, follower, clock, events,
@@ -51,7 +51,7 @@
 	return {
 		runner, log, follower,
 		stop() {
-			stopper.abort();
+			abortController.abort();
 		},
 	};
 }
--- a/src/coordination/token-availability.ts
+++ b/src/coordination/token-availability.ts
@@ -54,7 +54,7 @@
 	return {
 		/** Returns true if tokens that a request lacks may become free while it waits. */
 		mayBecomeAvailable(budget: string, amount: number, {reserved, isComplete}: LoanSearch): boolean {
-			// A peer that has just died still counts as alive but does not answer, which makes the search incomplete.
+			// A peer that has just failed still counts as alive but does not answer, which makes the search incomplete.
 			const isInFlight = holder.countReservedTokens(budget) + reserved > 0 || !isComplete;
 			return isInFlight || (follower.isLogUp() && (isClaimable(budget, amount) || isHeldByUnresponsive(budget, options)));
 		},
--- a/src/coordination/token-lending.ts
+++ b/src/coordination/token-lending.ts
@@ -29,7 +29,7 @@
 	readonly account: TokenAccount;
 	readonly events: EventLog;
 	readonly listViews: () => PeerView[];
-	/** Returns the gateways recorded as running in the log that recently became unresponsive or have not been heard yet. */
+	/** Returns the gateways recorded as running in the log that recently became unresponsive or have not been heard from yet. */
 	readonly listUnresponsive: () => readonly string[];
 	/** Returns the number of tokens that waiting requests of this gateway need. */
 	readonly countWanted: (customer: string) => number;
@@ -59,12 +59,12 @@
 /** Amounts to borrow, in tokens. */
 export type BorrowAmounts = Pick<TokenLoanRequest, 'needed' | 'wanted'>;
 
-/** Time for which a gateway that did not answer is asked after the others. */
+/** Time for which a gateway that did not answer is queried after the others. */
 const unresponsivePeriodMs = 2000;
-/** Number of gateways that are asked as owners of a budget; the second lends while the first is unavailable. */
-const maxOwnersAsked = 2;
-/** Number of other gateways that are asked for free tokens; each call delays the request. */
-const maxOthersAsked = 6;
+/** Number of gateways that are queried as owners of a budget; the second lends while the first is unavailable. */
+const maxOwnersQueried = 2;
+/** Number of other gateways that are queried for free tokens; each call delays the request. */
+const maxOthersQueried = 6;
 /** Number of answers kept for repeated requests. */
 const maxStoredAnswers = 2000;
 /** A lender may lend more than is needed now, up to this share of its spare tokens. */
@@ -132,7 +132,7 @@
 		return clock.now() - (unansweredAt.get(daemon) ?? Number.NEGATIVE_INFINITY) < unresponsivePeriodMs;
 	}
 
-	// Ranks owners first, then gateways by free tokens. Where each gateway claims for itself, all of them are asked.
+	// Ranks owners first, then gateways by free tokens. Where each gateway claims for itself, all of them are queried.
 	function rankLenders(customer: string): {readonly owners: readonly PeerView[]; readonly others: readonly PeerView[]} {
 		const countFree = (view: PeerView) => view.free.find(item => item.customer === customer)?.tokens ?? 0;
 		const byFree = options.listViews().sort((left, right) => countFree(right) - countFree(left));
@@ -143,8 +143,8 @@
 
 		const byName = new Map(byFree.map(view => [view.daemon, view]));
 		const ownerViews = owners.flatMap(owner => byName.get(owner) ?? []);
-		const lendingOwners = [...ownerViews.filter(view => !isUnresponsive(view)), ...ownerViews.filter(view => isUnresponsive(view))].slice(0, maxOwnersAsked);
-		const others = byFree.filter(view => countFree(view) > 0).slice(0, maxOthersAsked);
+		const lendingOwners = [...ownerViews.filter(view => !isUnresponsive(view)), ...ownerViews.filter(view => isUnresponsive(view))].slice(0, maxOwnersQueried);
+		const others = byFree.filter(view => countFree(view) > 0).slice(0, maxOthersQueried);
 		return {owners: lendingOwners, others};
 	}
 
--- a/src/coordination/unresponsive-holders.ts
+++ b/src/coordination/unresponsive-holders.ts
@@ -27,7 +27,7 @@
 
 /**
  * @internal Returns true if this daemon lent tokens to an unresponsive one,
- * which may hold no grant itself. If it dies, they stay locked in the grants of
+ * which may hold no grant itself. If it fails, the tokens stay locked in the grants of
  * the lender.
  */
 function isLentToUnresponsive(budget: string, {follower, membership, loans}: IsHeldByUnresponsiveOptions): boolean {
