--- a/src/coordination/attempt-runner.ts
+++ b/src/coordination/attempt-runner.ts
@@ -255,15 +255,15 @@
 		}
 
 		events.write('upstreamLost', {request: call.requestId, upstream: member.daemon, chunks: attempt.nextSequence});
-		const isCut = attempt.nextSequence > 0;
+		const isInterrupted = attempt.nextSequence > 0;
 		if (clock.now() >= call.deadline) {
-			return {kind: 'lost', failure: createFailure('deadline-passed', `The deadline passed after ${attempt.nextSequence} chunks`, {ran: isCut ? 'yes' : 'unknown'})};
+			return {kind: 'lost', failure: createFailure('deadline-passed', `The deadline passed after ${attempt.nextSequence} chunks`, {ran: isInterrupted ? 'yes' : 'unknown'})};
 		}
 
 		return {
 			kind: 'lost',
-			failure: createFailure(isCut ? 'answer-cut' : 'no-upstream', `Upstream daemon "${member.daemon}" stopped responding after ${attempt.nextSequence} chunks`, {
-				ran: isCut ? 'yes' : 'unknown', retryAfterMs,
+			failure: createFailure(isInterrupted ? 'answer-cut' : 'no-upstream', `Upstream daemon "${member.daemon}" stopped responding after ${attempt.nextSequence} chunks`, {
+				ran: isInterrupted ? 'yes' : 'unknown', retryAfterMs,
 			}),
 		};
 	}
--- a/src/coordination/membership.ts
+++ b/src/coordination/membership.ts
@@ -146,14 +146,14 @@
 
 			peer.isLeaving = answer.leaving;
 		} catch {
-			// A heartbeat that timed out suggests an unresponsive connection; a new one may work.
+			// A timed-out heartbeat suggests that the connection no longer delivers data; a new connection may work.
 			if (clock.now() - sentAt >= suspectTimeoutMs) {
 				connection.abandon();
 			}
 		}
 	}
 
-	// One task per peer; it ends when neither the log nor the settings name its address any more.
+	// One task per peer; it ends once its address is in neither the log nor the settings.
 	async function runHeartbeats(peer: PeerStatus, signal: AbortSignal): Promise<void> {
 		while (!signal.aborted && peers.get(peer.address) === peer) {
 			const overdueTimer = setInterval(() => {
--- a/src/coordination/request-router.test.ts
+++ b/src/coordination/request-router.test.ts
@@ -51,8 +51,8 @@
 
 // Guards against a request that crashes the engine of one upstream daemon after the other.
 test('a request whose answer was interrupted at two upstreams is not sent to a third', async () => {
-	const cut = createFailure('answer-cut', 'The engine process ended at event 0', {ran: 'unknown'});
-	const {sentTo, result} = await play([cut, cut, cut, cut]);
+	const interrupted = createFailure('answer-cut', 'The engine process ended at event 0', {ran: 'unknown'});
+	const {sentTo, result} = await play([interrupted, interrupted, interrupted, interrupted]);
 	expect(sentTo).toEqual(['up-1', 'up-2']);
 	expect(result.err && result.val.type).toBe('answer-cut');
 });
--- a/src/coordination/request-router.ts
+++ b/src/coordination/request-router.ts
@@ -37,8 +37,8 @@
 /** Routes requests to upstream daemons. */
 export type RequestRouter = ReturnType<typeof createRequestRouter>;
 
-/** Cut answers after which a request is given up, as the request itself may crash the engines. */
-const maxCutAnswers = 2;
+/** Interrupted answers after which a request is no longer retried, because it may itself crash the engines. */
+const maxInterruptedAnswers = 2;
 const holderRetryDelayMs = 300;
 const memberPollIntervalMs = 50;
 /** Time that a request with an idempotency key waits for tokens before it looks for an earlier run; a claim takes less. */
@@ -192,7 +192,7 @@
 			const tried = new Set<string>();
 			let last: Failure | undefined;
 			let mayHaveRun = false;
-			let cutAnswers = 0;
+			let interruptedAnswers = 0;
 			retries.deposit();
 			for (let isFirst = true; ; isFirst = false) {
 				if (!isFirst && last?.heldBy === undefined && !retries.tryWithdraw()) {
@@ -223,8 +223,8 @@
 					tried.add(member.daemon);
 				}
 
-				cutAnswers += outcome.kind === 'refused' && last.type === 'answer-cut' ? 1 : 0;
-				if (cutAnswers >= maxCutAnswers || !mayRetryElsewhere(call, outcome, chunks)) {
+				interruptedAnswers += outcome.kind === 'refused' && last.type === 'answer-cut' ? 1 : 0;
+				if (interruptedAnswers >= maxInterruptedAnswers || !mayRetryElsewhere(call, outcome, chunks)) {
 					return Err(preserveUnknownOutcome(call, last, mayHaveRun));
 				}
 
--- a/src/coordination/upstream-registry.ts
+++ b/src/coordination/upstream-registry.ts
@@ -67,7 +67,7 @@
 	avoidUntil: number;
 };
 
-/** Time for which an upstream is avoided after it did not respond; doubles with each consecutive time. */
+/** Time for which an upstream is avoided after it did not respond; doubles with each further call that it does not answer. */
 const baseAvoidMs = 500;
 /** Upper limit of the time for which an upstream is avoided; its registration expires after three missed heartbeats. */
 const maxAvoidMs = 4000;
