--- a/src/cli/budget-counter.ts
+++ b/src/cli/budget-counter.ts
@@ -14,7 +14,7 @@
 	readonly counted: number;
 	/** Tokens used by requests that were not served. */
 	readonly unserved: number;
-	/** Tokens granted to daemons that died and not known to be used or lent. */
+	/** Tokens granted to daemons that failed and not known to be used or lent. */
 	readonly leftWithDead: number;
 	/** Number of requests for which a gateway had insufficient tokens. */
 	readonly short: number;
@@ -37,7 +37,7 @@
  * ```ts
  * const budgets = createBudgetCounter();
  * budgets.recordGranted('front-1', {city: 5000});
- * budgets.recordStarted('front-1'); // a start without a stop: front-1 died holding 5000 tokens of city
+ * budgets.recordStarted('front-1'); // a start without a stop: front-1 failed while holding 5000 tokens of city
  * ```
  *
  * @returns The counter
--- a/src/cli/loss-report.test.ts
+++ b/src/cli/loss-report.test.ts
@@ -46,7 +46,7 @@
 	});
 });
 
-test('a customer\'s tokens are reported as counted, not served and left with a dead daemon', () => {
+test('a customer\'s tokens are reported as counted, not served and left with a failed daemon', () => {
 	// The customer is refused although its budget is not spent: front-1 was killed
 	// while holding 2,500 tokens of its grant. front-2 stopped in order and released
 	// its grant, so nothing is left with it.
--- a/src/cli/loss-report.ts
+++ b/src/cli/loss-report.ts
@@ -56,7 +56,7 @@
 /**
  * Builds a report of lost requests and tokens.
  *
- * A daemon that starts again without a stop event is taken to have died. The
+ * A daemon that starts again without a stop event is presumed to have failed. The
  * tokens granted to it that are not known to be used or lent count as left
  * with it. Lines whose fields do not match their event are skipped.
  *
--- a/src/cli/request-timeline.ts
+++ b/src/cli/request-timeline.ts
@@ -44,7 +44,7 @@
 /** Maps each event to the one that it reverses, so that a line "answers again" replaces the line "does not answer". */
 const oppositeEvents = new Map([['FL1102', 'FL1101'], ['FL1110', 'FL1109'], ['FL1302', 'FL1301'], ['FL1702', 'FL1701']]);
 
-/** @internal Computes when the request arrived, from the line that reports its duration; else takes the time of the first line. */
+/** @internal Computes when the request arrived, from the line that reports its duration; or else uses the time of the first line. */
 function computeStartTimeMs(lines: readonly LogLine[]): number {
 	const starts = lines.map(({at, fields}) => Date.parse(at) - (typeof fields.ms === 'number' ? fields.ms : 0));
 	return Math.min(...starts);
@@ -73,7 +73,7 @@
  * const timeline = buildRequestTimeline('9c41d07be2a35f68', parseLog(text));
  * ```
  *
- * @param request Id of the request
+ * @param request ID of the request
  * @param log Lines of all daemons, in any order
  * @returns The timeline; `lines` is empty if no daemon names the request
  */
--- a/src/daemon/caller-interface.test.ts
+++ b/src/daemon/caller-interface.test.ts
@@ -71,8 +71,8 @@
 }
 
 // Guards against a truncated answer. A caller on a slow connection received half
-// of a long answer: all of it had been written when the entry daemon was told to
-// stop, but a part was still buffered in the process. The request no longer
+// of a long answer: all of it had been written when the stop of the entry daemon
+// began, but a part was still buffered in the process. The request no longer
 // counted as running, so the stop closed the connection before that part was sent.
 test('a stop waits until a slow caller has been sent its whole answer', {timeout: 15_000}, async () => {
 	const callers = createCallers(Buffer.alloc(answerBytes, ' '));
--- a/src/daemon/caller-interface.ts
+++ b/src/daemon/caller-interface.ts
@@ -136,7 +136,7 @@
 	async function sendWholeResponse(call: RoutedCall, caller: Caller, response: ServerResponse): Promise<void> {
 		const chunks: ChatChunk[] = [];
 		const timing: Timing = {gapMs: 0};
-		// Nothing has been sent to the caller yet, so another run may replace one that is lost part-way.
+		// Nothing has been sent to the caller yet, so a run that fails part-way can be replaced by another one.
 		const discardChunks = () => {
 			chunks.length = 0;
 		};
--- a/src/daemon/chat-answer.ts
+++ b/src/daemon/chat-answer.ts
@@ -36,7 +36,7 @@
  *
  * @example
  * ```ts
- * formatStreamEvent(chunk, {wantsUsage: false}); // 'data: {…}\n\n'
+ * formatStreamEvent(chunk, {shouldIncludeUsage: false}); // 'data: {…}\n\n'
  * ```
  *
  * @param chunk The engine's event
--- a/src/daemon/end-to-end.test.ts
+++ b/src/daemon/end-to-end.test.ts
@@ -48,7 +48,7 @@
 }
 
 /* eslint-disable @typescript-eslint/naming-convention */
-test('the openai client gets a whole answer with usage', async () => {
+test('the openai client gets a complete answer with usage', async () => {
 	const client = new OpenAI({apiKey: key, baseURL: `${callers}/v1`, maxRetries: 0});
 	const completion = await client.chat.completions.create({model: 'assistant', messages: [{role: 'user', content: 'answer 12'}], max_completion_tokens: 40});
 	expect(completion.choices[0]?.message.content?.trim().split(' ')).toHaveLength(12);
@@ -72,7 +72,7 @@
 	expect([tokens, usage]).toEqual([9, 9]);
 });
 
-test('bad input gets a typed problem, is not run and not billed', async () => {
+test('invalid input gets a typed problem, is not run and not billed', async () => {
 	const message = {role: 'user', content: 'answer 5'};
 	const cases: Array<[string, Record<string, string>, string]> = [
 		['{"model": ', {}, 'malformed-json'],
@@ -170,7 +170,7 @@
 	expect(runCommand(['budget', 'show', 'nothing']).status).toBe(3);
 });
 
-test('fireflylaned refuses bad settings with exit code 2', () => {
+test('fireflylaned refuses invalid settings with exit code 2', () => {
 	const file = join(tmpdir(), `settings-${process.pid}.yaml`);
 	writeFileSync(file, 'id: entry-1\nrole: entry\nwat: 1\n');
 	const result = spawnSync(process.execPath, ['dist/src/daemon.js', '--settings', file], {encoding: 'utf8'});
--- a/src/daemon/entry-daemon.ts
+++ b/src/daemon/entry-daemon.ts
@@ -16,7 +16,7 @@
 import {createPeerInterface} from './peer-interface.js';
 import {waitUntilIdle} from './wait-until-idle.js';
 
-/** A broken stream is resumed for as long as it takes to suspect a peer and to hear from it again: twice the suspicion timeout. */
+/** A broken stream can be resumed for the time that it takes to suspect a peer and to receive its heartbeat again: twice the suspicion timeout. */
 const resumeTimeoutFactor = 2;
 
 /** Time during which a stopping entry daemon still accepts requests, so that the load balancer can notice the stop. */
@@ -38,7 +38,7 @@
  * const daemon = await startEntryDaemon(settings);
  * ```
  *
- * @param settings Checked settings
+ * @param settings Validated settings
  * @param policies Policies that replace the default ones
  * @returns The running daemon
  * @throws {FailureError} If a secret cannot be read
--- a/src/daemon/gateway-daemon.ts
+++ b/src/daemon/gateway-daemon.ts
@@ -182,7 +182,7 @@
 	const retryAfterEstimator = createRetryAfterEstimator({clock, findMaxStopMs: computeStopDurationMs});
 	const catchUp = createPeerCatchUp({
 		clock, events, findVersion: getDeploymentVersion,
-		queryPeer: async (address, ask) => fleet.connect(address).gateway.catchUp(ask, {timeoutMs: peerTimeoutMs}),
+		queryPeer: async (address, query) => fleet.connect(address).gateway.catchUp(query, {timeoutMs: peerTimeoutMs}),
 		onDeployment: state.adoptFromPeer,
 		onPrompt: upstreamRegistry.recordPeerPrompt,
 		onCrashRecord(record) {
--- a/src/daemon/gateway-state.test.ts
+++ b/src/daemon/gateway-state.test.ts
@@ -168,7 +168,7 @@
 test('a read that hangs does not hide that an upstream left', async () => {
 	// Guards against a request that reaches an engine that has exited. The
 	// gateway's read of the upstreams hung for seconds, first on an unresponsive
-	// path and then at relays that had died, while new calls were answered; the
+	// path and then at relays that had exited, while new calls were answered; the
 	// gateway read that the engine had left only after the hanging read had ended.
 	const {time, setNextHang, remove, listCandidates, stop} = createFixture(['u1', 'u2']);
 	await time.runUntil(3100);
@@ -190,20 +190,20 @@
 	// seconds ago gets no requests once the gateway's path to the store has worked
 	// for three seconds.
 	const scenarioArbitrary = fc.record({
-		partitions: fc.array(fc.record({at: timeArbitrary, span: fc.integer({min: 100, max: 6000})}), {maxLength: 3}),
-		hangs: fc.array(fc.record({at: timeArbitrary, span: fc.integer({min: 500, max: 3700})}), {maxLength: 3}),
+		partitions: fc.array(fc.record({at: timeArbitrary, durationMs: fc.integer({min: 100, max: 6000})}), {maxLength: 3}),
+		hangs: fc.array(fc.record({at: timeArbitrary, durationMs: fc.integer({min: 500, max: 3700})}), {maxLength: 3}),
 		removals: fc.array(timeArbitrary, {minLength: 1, maxLength: 4}),
 	});
 	await fc.assert(fc.asyncProperty(scenarioArbitrary, async ({partitions, hangs, removals}) => {
 		const {time, setPartitioned, setNextHang, remove, listCandidates, stop} = createFixture(removals.map((_, index) => `u${index}`));
-		const isPartitionedAt = (now: number) => partitions.some(({at, span}) => at <= now && now < at + span);
-		const wasRecentlyPartitioned = (now: number) => partitions.some(({at, span}) => at <= now && now < at + span + maxStaleMs);
-		const steps = [...partitions.flatMap(({at, span}) => [at, at + span]), ...hangs.map(({at}) => at), ...removals];
+		const isPartitionedAt = (now: number) => partitions.some(({at, durationMs}) => at <= now && now < at + durationMs);
+		const wasRecentlyPartitioned = (now: number) => partitions.some(({at, durationMs}) => at <= now && now < at + durationMs + maxStaleMs);
+		const steps = [...partitions.flatMap(({at, durationMs}) => [at, at + durationMs]), ...hangs.map(({at}) => at), ...removals];
 		for (const now of new Set([...steps, ...Array.from({length: scenarioEndMs / 100}, (_, index) => index * 100)].toSorted((left, right) => left - right))) {
 			await time.runUntil(now);
 			setPartitioned(isPartitionedAt(now));
-			for (const {span} of hangs.filter(({at}) => at === now)) {
-				setNextHang(span);
+			for (const {durationMs} of hangs.filter(({at}) => at === now)) {
+				setNextHang(durationMs);
 			}
 
 			for (const [index, at] of removals.entries()) {
--- a/src/daemon/upstream-daemon.ts
+++ b/src/daemon/upstream-daemon.ts
@@ -71,7 +71,7 @@
  * const daemon = await startUpstreamDaemon(settings);
  * ```
  *
- * @param settings Checked settings
+ * @param settings Validated settings
  * @returns The running daemon
  * @throws {FailureError} If a secret cannot be read
  */
--- a/src/protocol/gateway-wire.ts
+++ b/src/protocol/gateway-wire.ts
@@ -8,7 +8,7 @@
 import type {Failure} from './failures.js';
 import type {Result} from './results.js';
 
-/** A part of a prompt. Prompts that contain a part of the same id have its tokens in common. */
+/** A part of a prompt. Prompts that contain a part of the same ID have its tokens in common. */
 export type PromptPart = {readonly id: string; readonly tokens: number};
 
 /** Generation parameters of a request to a model engine, as stated by the caller. */
@@ -23,27 +23,27 @@
 
 /** Metadata of a request from a caller. */
 export type RequestMetadata = {
-	/** Identifies the caller's attempt; undefined if the caller sent no id. */
+	/** Identifies the caller's attempt; undefined if the caller sent no ID. */
 	readonly id?: string;
 	/** Time that the caller waits for the answer, in milliseconds; undefined if not stated. */
 	readonly timeoutMs?: number;
 	readonly key?: string;
 	readonly generation?: GenerationParameters;
-	/** Id of the last event that the caller has received, after which the stream is to resume. */
+	/** ID of the last event that the caller has received, after which the stream is to resume. */
 	readonly lastEventId?: string;
 };
 
 /** Metadata of a request that the gateway forwards to an upstream. */
 export type ForwardMetadata = {
 	readonly requestId?: string;
-	/** Id of the only upstream that may run the request. */
+	/** ID of the only upstream that may run the request. */
 	readonly upstream: string;
 	readonly customer?: string;
 	/** Time left until the deadline, in milliseconds. */
 	readonly remainingMs: number;
 	/** Scheduling order at the upstream, from 0 (first) to 9 (last); undefined for the default of the upstream. */
 	readonly urgency?: number;
-	/** Id of the event after which the stream resumes. */
+	/** ID of the event after which the stream resumes. */
 	readonly lastEventId?: string;
 };
 
@@ -52,7 +52,7 @@
 
 /** Metadata of an answer from an upstream. */
 export type AnswerMetadata = {
-	/** Id of the request that this answers; undefined if not stated. */
+	/** ID of the request that this answers; undefined if not stated. */
 	readonly requestId?: string;
 	/** True if the upstream guarantees that the request has not run. */
 	readonly hasNotRun: boolean;
@@ -70,10 +70,10 @@
 export type GatewayWire = {
 	/** Reads the metadata of a caller's request; fails if a field is malformed. */
 	readonly readRequest: (headers: IncomingHttpHeaders) => Result<RequestMetadata, Failure>;
-	/** Reads only the request id, for log events. Also works for requests with other malformed fields. */
+	/** Reads only the request ID, for log events. Also works for requests with other malformed fields. */
 	readonly readRequestId: (headers: IncomingHttpHeaders) => string | undefined;
 	/** Builds the headers for the upstream from the caller's headers. */
-	readonly buildForwardHeaders: (raw: RawHeaders, facts: ForwardMetadata) => string[];
+	readonly buildForwardHeaders: (raw: RawHeaders, metadata: ForwardMetadata) => string[];
 	readonly readAnswer: (status: number, headers: IncomingHttpHeaders) => AnswerMetadata;
 	/** Builds the headers for the caller from the upstream's headers. */
 	readonly buildAnswerHeaders: (raw: RawHeaders) => string[];
--- a/src/protocol/read-settings.ts
+++ b/src/protocol/read-settings.ts
@@ -44,7 +44,7 @@
 
 /** Options of {@linkcode parseSettings} and {@linkcode readSettings}. */
 export type ParseSettingsOptions = {
-	/** Id of the daemon to select from a deployment file; may be omitted if the file describes only one. */
+	/** ID of the daemon to select from a deployment file; may be omitted if the file describes only one. */
 	readonly daemon?: string;
 };
 
--- a/src/protocol/request-id.ts
+++ b/src/protocol/request-id.ts
@@ -1,5 +1,5 @@
 /**
- * Request ids, unique ids, digests and secret comparison.
+ * Request IDs, unique IDs, digests and secret comparison.
  *
  * @module
  */
@@ -15,11 +15,11 @@
 };
 
 /**
- * Computes the id of a caller request.
+ * Computes the ID of a caller request.
  *
  * The digest includes the customer, which comes from the authenticated key. A
  * caller that guesses an idempotency key of another customer therefore gets the
- * id of a different request.
+ * ID of a different request.
  *
  * @example
  * ```ts
@@ -52,7 +52,7 @@
 }
 
 /**
- * Creates a unique id with a readable prefix.
+ * Creates a unique ID with a readable prefix.
  *
  * @example
  * ```ts
--- a/src/state/crash-registry.ts
+++ b/src/state/crash-registry.ts
@@ -35,7 +35,7 @@
 /** Registry of requests during which upstreams crashed. */
 export type CrashRegistry = ReturnType<typeof createCrashRegistry>;
 
-/** Takes about 150 KB. */
+/** That many records occupy about 150 KB. */
 const defaultMaxRecords = 1000;
 /** How long a record with crashes is kept after its last change. */
 const crashRetentionMs = 3_600_000;
--- a/src/state/grant-registry.ts
+++ b/src/state/grant-registry.ts
@@ -1,12 +1,12 @@
 /**
- * Tokens of each customer's budget that every gateway has been granted.
+ * Tokens of each customer's budget that have been granted to each gateway.
  *
  * Each incarnation of a gateway owns one record in a keyed log. It holds the
  * cumulative total granted to that incarnation from each budget. A record is
  * appended only if its writer has read the log to the end, so the writer knows
  * all other totals and their sum never exceeds the tokens bought. A grant is
  * used up and never expires, because a paused holder cannot know how much time
- * has passed. The totals of ended incarnations remain counted.
+ * has passed. The totals of ended incarnations continue to count.
  *
  * @module
  */
--- a/src/state/ledger.ts
+++ b/src/state/ledger.ts
@@ -210,7 +210,7 @@
 		budget.billed += share.amount;
 	}
 
-	// Deletes entries older than the retention period. The map is in log order, so the first entry to keep ends the scan.
+	// Deletes entries older than the retention period. The map is in log order, so the scan ends at the first entry that is not expired.
 	function evictExpired<Value>(map: Map<string, Value>, nowMs: number, getTimestampMs: (value: Value) => number): void {
 		for (const [key, value] of map) {
 			if (getTimestampMs(value) >= nowMs - options.retentionMs) {
--- a/src/state/prompt-cache.ts
+++ b/src/state/prompt-cache.ts
@@ -9,7 +9,7 @@
  */
 import type {PromptPart} from '../protocol/mod.js';
 
-/** Fraction of an engine's memory assumed to hold cached parts; running requests need the rest. */
+/** Fraction of an engine's memory assumed to hold cached parts; running requests need the remainder. */
 const cacheFraction = 0.7;
 
 /** A prompt that an upstream reads and then caches. */
--- a/src/state/spend.test.ts
+++ b/src/state/spend.test.ts
@@ -336,7 +336,7 @@
 	}).toThrow();
 });
 
-test('createFleetState() from a snapshot and the rest of the log equals folding the whole log', () => {
+test('createFleetState() from a snapshot and the remaining log equals folding the whole log', () => {
 	fc.assert(fc.property(stepsArbitrary, fc.nat(), (steps, snapshotSeed) => {
 		const simulation = createSimulation();
 		for (const step of steps) {
--- a/src/state/upstream-directory.test.ts
+++ b/src/state/upstream-directory.test.ts
@@ -7,7 +7,7 @@
 };
 
 test('a draining upstream does not become live again', () => {
-	// Guards against cut-off requests: an older registration, read after the one
+	// Guards against aborted requests: an older registration, read after the one
 	// that announces the drain, must not give the upstream new requests.
 	const directory = createUpstreamDirectory();
 	directory.put({...entry, isDraining: true}, 0);
--- a/src/state/upstream-directory.ts
+++ b/src/state/upstream-directory.ts
@@ -7,11 +7,11 @@
 
 type Registration = {upstream: UpstreamRegistration; graceEndsAt?: number; warmAt: number; isAddressReused?: boolean};
 
-/** An upstream that takes requests. */
+/** An upstream that accepts requests. */
 export type LiveUpstream = {
 	readonly upstream: UpstreamRegistration;
 	readonly isWarm: boolean;
-	/** True if its registration was removed and it takes requests only until the grace period ends. */
+	/** True if its registration was removed and it accepts requests only until the grace period ends. */
 	readonly isOnGrace: boolean;
 };
 
@@ -88,7 +88,7 @@
 				.map(registration => ({upstream: registration.upstream, isWarm: now >= registration.warmAt, isOnGrace: registration.graceEndsAt !== undefined}));
 		},
 
-		/** Returns the rest of an upstream's grace period in whole milliseconds; 0 outside a grace period. */
+		/** Returns the remaining grace period of an upstream in whole milliseconds; 0 outside a grace period. */
 		computeRemainingGraceMs(id: string, now: number): number {
 			const registration = registrations.get(id);
 			return registration?.graceEndsAt !== undefined && isLive(registration, now) ? Math.round(registration.graceEndsAt - now) : 0;
--- a/src/transport/abort-signals.test.ts
+++ b/src/transport/abort-signals.test.ts
@@ -2,13 +2,13 @@
 import {expect, test} from 'vitest';
 import {createTimeoutSignal, joinSignals} from './mod.js';
 
-test('createBound() aborts after its timeout', async () => {
+test('createTimeoutSignal() aborts after its timeout', async () => {
 	const timeout = createTimeoutSignal(20);
 	await wait(60);
 	expect(timeout.signal.aborted).toBe(true);
 });
 
-test('createBound() aborts with another signal and not after clear()', async () => {
+test('createTimeoutSignal() aborts with another signal and not after clear()', async () => {
 	const other = new AbortController();
 	const timeout = createTimeoutSignal(10_000, [other.signal]);
 	const cleared = createTimeoutSignal(10, [other.signal]);
--- a/src/transport/caller-server.test.ts
+++ b/src/transport/caller-server.test.ts
@@ -14,7 +14,7 @@
 test('a draining server closes a connection once its running response is complete', {timeout: 3000}, async () => {
 	// A stream that began before a planned stop ends during it. If its keep-alive
 	// connection stays open, the caller sends a new request on it seconds later,
-	// and the end of the stop cuts the response to that one short.
+	// and the end of the stop truncates the response to it.
 	let begin: (response: ServerResponse) => void = () => undefined;
 	const begun = new Promise<ServerResponse>(resolve => {
 		begin = resolve;
--- a/src/transport/caller-server.ts
+++ b/src/transport/caller-server.ts
@@ -82,7 +82,7 @@
  * @param address Where to listen
  * @param serve Handles requests; must not reject
  * @returns The running server
- * @throws When the address cannot be listened on
+ * @throws {Error} If the server cannot listen on the address
  */
 export async function startCallerServer(address: ListenAddress, serve: ServeCaller): Promise<CallerServer> {
 	const server = createServer({
--- a/src/transport/connection-tracker.test.ts
+++ b/src/transport/connection-tracker.test.ts
@@ -35,8 +35,8 @@
 
 test('a connection is idle after its response but not while request headers are being received', async () => {
 	// Idle connections are closed while a caller has sent only half of a request.
-	// If its connection counts as idle, the rest of the request is answered by a
-	// connection reset.
+	// If its connection counts as idle, the remainder of the request is answered
+	// by a connection reset.
 	const {server, tracker} = await startServer();
 	const socket = await open(server);
 	socket.write('GET / HTTP/1.1\r\nHost: a\r\n');
--- a/src/transport/datagram-socket.ts
+++ b/src/transport/datagram-socket.ts
@@ -50,14 +50,14 @@
  *
  * @example
  * ```ts
- * const socket = await openDatagramSocket({host: '127.0.0.1', port: 0}, {fleetKey, onMessage, onRefused, onLost});
+ * const socket = await openDatagramSocket({host: '127.0.0.1', port: 0}, {fleetKey, onMessage, onUnauthenticated, onSendError});
  * socket.send(bytes, ['127.0.0.1:7341']);
  * ```
  *
  * @param listenAddress Where to listen
  * @param options The fleet's key and the handlers
  * @returns The open socket
- * @throws When the address cannot be listened on
+ * @throws {Error} If the socket cannot be bound to the address
  */
 export async function openDatagramSocket({host, port}: ListenAddress, options: OpenDatagramSocketOptions): Promise<DatagramSocket> {
 	const {fleetKey, onMessage, onUnauthenticated, onSendError} = options;
--- a/src/transport/fleet-client.test.ts
+++ b/src/transport/fleet-client.test.ts
@@ -83,7 +83,7 @@
 
 test('abandoning a connection right after the peer has closed it does not crash the process', async () => {
 	// A call fails, and the peer sends GOAWAY at the same moment. Connect is
-	// already destroying the session when it is told to abandon it, and no longer
+	// already destroying the session when the connection is abandoned, and no longer
 	// listens for its error, which terminates the process.
 	const address = await serve(session => {
 		session.on('stream', stream => {
--- a/src/transport/fleet-server.ts
+++ b/src/transport/fleet-server.ts
@@ -54,13 +54,13 @@
  *
  * @example
  * ```ts
- * const server = await startFleetServer({host: '127.0.0.1', port: 0}, {fleetKey, routes, onRefused});
+ * const server = await startFleetServer({host: '127.0.0.1', port: 0}, {fleetKey, routes, onUnauthenticated});
  * ```
  *
  * @param listenAddress Where to listen
  * @param options The fleet's key and the services
  * @returns The running server
- * @throws When the address cannot be listened on
+ * @throws {Error} If the server cannot listen on the address
  */
 export async function startFleetServer(listenAddress: ListenAddress, options: StartFleetServerOptions): Promise<FleetServer> {
 	const sessions = new Set<ServerHttp2Session>();
--- a/src/transport/host-list-client.ts
+++ b/src/transport/host-list-client.ts
@@ -13,7 +13,7 @@
 /** Schema of the host list. */
 export const hostListSchema = z.object({
 	hosts: z.array(z.object({
-		/** Id of the daemon on the host. */
+		/** ID of the daemon on the host. */
 		id: z.string(),
 		state: z.enum(['live', 'leaving']),
 	})),
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -56,7 +56,7 @@
  * @param address Where to listen; with port 0 the system picks a free port
  * @param addRoutes Adds the routes
  * @returns The running server
- * @throws When the address cannot be listened on
+ * @throws {Error} If the server cannot listen on the address
  */
 export async function startHttpServer(address: ListenAddress, addRoutes: AddRoutes): Promise<HttpServer> {
 	const server = createServer();
@@ -64,7 +64,7 @@
 		server,
 		prioRequestsProcessing: false,
 		errorHandler(error, _request, response) {
-			// The status line is already sent, so the failure can only be signalled by cutting the response short.
+			// The status line is already sent, so the failure can only be signalled by truncating the response.
 			if (response.headersSent) {
 				response.destroy();
 				return;
@@ -147,7 +147,7 @@
  * lost if a stop closes the connection: a caller on loopback that started to
  * read one second late received 3.7 MiB of a 32 MiB response. The end of the
  * handler and `finished` mean only that everything was written to the buffer;
- * the response emits `close` once the system has taken it.
+ * the response emits `close` once the system has accepted all of it.
  *
  * @example
  * ```ts
@@ -199,7 +199,7 @@
 /**
  * Reads the body of a request.
  *
- * The rest of an oversized body is read and discarded, so that the caller
+ * The remainder of an oversized body is read and discarded, so that the caller
  * receives the response instead of a connection reset.
  *
  * @example
--- a/src/transport/log-client.ts
+++ b/src/transport/log-client.ts
@@ -9,7 +9,7 @@
 } from '../protocol/mod.js';
 import {createTimeoutSignal} from './abort-signals.js';
 
-/** Why a read failed: `away` if the log is unavailable, `gone` if it no longer keeps the requested offset. */
+/** Why a read failed: `away` if the log is unavailable, `gone` if it no longer retains the requested offset. */
 export type ReadFailure =
 	| {readonly kind: 'away'; readonly failure: Failure}
 	| {readonly kind: 'gone'; readonly first: number; readonly next: number};
--- a/src/transport/mod.ts
+++ b/src/transport/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Sockets, servers and clients. Knows nothing of budgets and depends only on the
+ * Sockets, servers and clients. Independent of budgets; depends only on the
  * protocol layer.
  *
  * @module
--- a/src/transport/upstream-client.test.ts
+++ b/src/transport/upstream-client.test.ts
@@ -55,7 +55,7 @@
 
 test.each([true, false])('a response without length whose connection is reset is incomplete, new connection %s', async shouldUseNewConnection => {
 	// An engine crashes during a response without length. undici treats the reset
-	// as the end of the response, so the caller takes half of it for the whole.
+	// as the end of the response, so the caller mistakes the truncated response for a complete one.
 	const address = await serve(socket => {
 		socket.write(responseWithoutLength, () => {
 			setTimeout(() => {
--- a/src/transport/upstream-client.ts
+++ b/src/transport/upstream-client.ts
@@ -38,9 +38,9 @@
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
 	readonly rawHeaders: RawHeaders;
-	/** The body's chunks; throws if the response is cut short. */
+	/** The body's chunks; throws if the response is truncated. */
 	readonly chunks: AsyncIterableIterator<Uint8Array>;
-	/** Discards the rest of the body and closes the connection. */
+	/** Discards the remaining body and closes the connection. */
 	readonly abandon: () => void;
 };
 
--- a/stand-ins/model-engine.ts
+++ b/stand-ins/model-engine.ts
@@ -84,7 +84,7 @@
 	}
 }
 
-// Tokens contain the request id, so that a proof can check that a caller received the answer to its own request.
+// Tokens contain the request ID, so that a proof can check that a caller received the answer to its own request.
 function formatToken(run: Run, index: number): string {
 	return `${run.id.slice(0, 6)}-${index} `;
 }
--- a/tools/measure/process-usage.ts
+++ b/tools/measure/process-usage.ts
@@ -25,7 +25,7 @@
  *
  * @param pid ID of the process
  * @returns Its processor time and memory
- * @throws When the process no longer exists
+ * @throws {Error} If the process no longer exists
  */
 export function readProcessUsage(pid: number): ProcessUsage {
 	const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]!.split(' ');
--- a/tools/measure/routing.ts
+++ b/tools/measure/routing.ts
@@ -1,6 +1,6 @@
 /**
  * Compares routing policies on stand-in engines: with three loads while all are
- * healthy, then while one is slow, the reports of one lag and one is dead.
+ * healthy, then while one is slow, one reports its load late and one is killed.
  *
  * @module
  */
--- a/tools/prove/delivery-proofs.ts
+++ b/tools/prove/delivery-proofs.ts
@@ -1,5 +1,5 @@
 /**
- * Proofs that every caller receives the whole answer to its own request.
+ * Proofs that every caller receives the complete answer to its own request.
  *
  * @module
  */
